--- a/benches/list_client.rs
+++ b/benches/list_client.rs
@@ -65,7 +65,7 @@
 
     fn whole(&mut self) -> usize {
         let list = std::mem::take(&mut self.fleet);
-        let actions = self.tell(ListKind::Whole, &list);
+        let actions = self.tell(ListKind::Full, &list);
         self.fleet = list;
         actions
     }
--- a/benches/thin_traffic.rs
+++ b/benches/thin_traffic.rs
@@ -107,7 +107,7 @@
                 requests.insert((b, id), (now, 0));
                 (b, Event::Request(Request::new(RequestId(id), 0, Time(now + deadline))))
             }
-            Next::Timer(b, u64::MAX) => (b, Event::Members { kind: ListKind::Whole, list: &list }),
+            Next::Timer(b, u64::MAX) => (b, Event::Members { kind: ListKind::Full, list: &list }),
             Next::Timer(b, token) => (b, Event::Timer(token)),
             Next::Ends { balancer, request, attempt, server, late, sent } => {
                 out[server as usize] -= 1;
--- a/src/bin/hollowpaddle-benchlink/instance.rs
+++ b/src/bin/hollowpaddle-benchlink/instance.rs
@@ -143,7 +143,7 @@
         members.extend(m.lines.iter().map(|line| self.member(line)));
         let kind = match m.kind {
             wire::ListKind::Update => d::ListKind::Update,
-            wire::ListKind::Replace => d::ListKind::Whole,
+            wire::ListKind::Replace => d::ListKind::Full,
             wire::ListKind::Restored => d::ListKind::Restored,
             wire::ListKind::Unavailable => d::ListKind::Unavailable,
         };
--- a/src/bin/hollowpaddle/engine.rs
+++ b/src/bin/hollowpaddle/engine.rs
@@ -328,7 +328,7 @@
     fn heard(&mut self, news: News) {
         match news {
             News::Told(list) => {
-                self.listed(&list, if list.complete { ListKind::Whole } else { ListKind::Update });
+                self.listed(&list, if list.complete { ListKind::Full } else { ListKind::Update });
                 if let Some(keeper) = &self.keeper {
                     keeper.keep(list);
                 }
@@ -368,7 +368,7 @@
         self.routing.replace(reloaded.routing);
         self.changed(&reloaded.changes);
         for service in reloaded.removed {
-            self.tell(service, Event::Members { kind: ListKind::Whole, list: &[] });
+            self.tell(service, Event::Members { kind: ListKind::Full, list: &[] });
             let waits = |h: &Held| h.service == service && h.reply.is_some() && h.out() == 0;
             let held = self.requests.iter().filter(|(_, h)| waits(h));
             let waiting: Vec<RequestId> = held.map(|(id, _)| *id).collect();
@@ -456,7 +456,7 @@
         held.attempts.iter_mut().filter(|a| a.task.is_some()).for_each(|a| a.sent = now);
         self.timers.push(Reverse((backstop(latest, room), Due::Deadline(id))));
         let service = held.service;
-        self.tell(service, Event::Whole(id));
+        self.tell(service, Event::BodyComplete(id));
     }
 
     /// When a client that waits until then has to be answered.
--- a/src/hollow/balancer/tests.rs
+++ b/src/hollow/balancer/tests.rs
@@ -31,7 +31,7 @@
 fn told(balancer: &mut HollowBalancer, complete: bool, members: Vec<Entry>) -> usize {
     let list = Message { revision: 1, complete, members };
     balancer.take(&list);
-    balancer.tell(Time(0), &list, if complete { ListKind::Whole } else { ListKind::Update })
+    balancer.tell(Time(0), &list, if complete { ListKind::Full } else { ListKind::Update })
 }
 
 #[test]
--- a/src/hollow/driver.rs
+++ b/src/hollow/driver.rs
@@ -304,7 +304,7 @@
         // A watch lost is told only where lists are asked for.
         let News::Told(list) = news else { return };
         figures.took(list.revision, list.members.len(), list.complete);
-        let kind = if list.complete { ListKind::Whole } else { ListKind::Update };
+        let kind = if list.complete { ListKind::Full } else { ListKind::Update };
         self.told(balancer, figures, &list, kind);
         if let Some(keeper) = keeper {
             keeper.keep(list);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -374,7 +374,7 @@
     /// Changed entries only.
     Update,
     /// The whole list.
-    Whole,
+    Full,
     /// The whole list as last held, perhaps out of date.
     Restored,
     /// A list call failed or the subscription broke.
@@ -400,7 +400,7 @@
     pub resent: bool,
     /// It changes something.
     pub write: bool,
-    /// Its body is still coming: until [`Event::Whole`] no upstream starts on it.
+    /// Its body is still coming: until [`Event::BodyComplete`] no upstream starts on it.
     pub coming: bool,
 }
 
@@ -515,7 +515,7 @@
     /// A client's request has arrived: one final answer is owed.
     Request(Request),
     /// The body of a request that was still coming is whole.
-    Whole(RequestId),
+    BodyComplete(RequestId),
     /// An attempt has ended.
     Answered(Answer),
     /// The answer has begun to stream: the attempt is the client's now.
--- a/src/invariants/permit.rs
+++ b/src/invariants/permit.rs
@@ -11,7 +11,7 @@
 /// The same before the first byte is written: the rest is for a hold between the check and the write.
 const DEADLINE_SLACK_BEFORE: Duration = Duration::from_millis(50);
 /// A process may be held up for so long between reading its clock and writing (STANDING).
-const HOLD: Duration = Duration::from_millis(150);
+const MAX_STALL: Duration = Duration::from_millis(150);
 
 /// Why an action is not permitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -136,7 +136,7 @@
         (!facts.guarded, Rule::UnguardedAttempt),
         (late, Rule::AttemptAfterClose),
         (facts.upstream_closed, Rule::AttemptAtClosedUpstream),
-        (facts.past_window > HOLD, Rule::AttemptAfterWindow),
+        (facts.past_window > MAX_STALL, Rule::AttemptAfterWindow),
         (facts.deadline_excess > DEADLINE_SLACK, Rule::DeadlineTooLong),
     ];
     rules.into_iter().filter_map(|(holds, rule)| holds.then_some(rule))
--- a/src/invariants/permit/tests.rs
+++ b/src/invariants/permit/tests.rs
@@ -3,7 +3,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn an_attempt_is_denied_by_each_fact_alone() {
+fn each_fact_alone_denies_an_attempt() {
     let fine = SendFacts::default();
     assert_eq!(send(&fine), Ok(()));
     let facts = [
@@ -21,17 +21,17 @@
 }
 
 #[test]
-fn a_connection_is_not_closed_over_what_is_owed_to_a_client_that_is_there() {
+fn a_connection_with_unanswered_or_unread_data_is_not_closed() {
     for facts in 0..8 {
         let bit = |n: u8| facts & n > 0;
         let facts = CloseFacts { client_closed: bit(1), unanswered: bit(2), unread: bit(4) };
-        let owed = !facts.client_closed && (facts.unanswered || facts.unread);
-        assert_eq!(close(&facts).is_err(), owed, "{facts:?}");
+        let unanswered_or_unread = !facts.client_closed && (facts.unanswered || facts.unread);
+        assert_eq!(close(&facts).is_err(), unanswered_or_unread, "{facts:?}");
     }
 }
 
 #[test]
-fn an_attempt_counts_as_broken_by_the_bounds_that_the_operators_state() {
+fn violations_begin_beyond_the_stated_bounds() {
     let fine = SentFacts { guarded: true, ..SentFacts::default() };
     let rules = |facts| broken(&facts).collect::<Vec<_>>();
     assert_eq!(rules(fine), []);
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -3,15 +3,15 @@
 use super::*;
 
 /// Share of the aim that queue and service may take to be admitted: the rest is for the spread of service.
-const HOLD_OF_AIM: f64 = 0.7;
+const WAIT_SHARE_OF_AIM: f64 = 0.7;
 /// Part of the bearable wait that the class of least worth for its work may use.
-const LEAST_PART: f64 = 0.2;
+const MIN_WAIT_SHARE: f64 = 0.2;
 
 impl Balancer {
     /// A client request has arrived; it is sent, held or refused.
-    pub(super) fn request(&mut self, now: Time, r: Request, out: &mut Vec<Action>) {
+    pub(super) fn handle_request(&mut self, now: Time, r: Request, actions: &mut Vec<Action>) {
         let Some(class) = self.settings.classes.get(r.class) else {
-            out.push(Action::Refuse { request: r.id, retry_after: Span(0) });
+            actions.push(Action::Refuse { request: r.id, retry_after: Span(0) });
             return;
         };
         if self.requests.contains_key(&r.id) {
@@ -22,25 +22,25 @@
         let aim_at = r.drop_dead.min(now.plus(class.aim));
         let worth_until = if class.late_worth > 0.0 { r.drop_dead } else { aim_at };
         // Two sweeps early: a refusal must come while it is still harmless.
-        let hold_until = aim_at.plus(Span(-2 * self.settings.sweep_every().0));
-        let turn = r.key.filter(|_| class.in_order);
-        let entry = Entry::new(&r, worth_until, hold_until, turn);
-        let ahead = entry.turn.and_then(|k| self.lines.get(&k)).map_or(0, |l| l.waiting.len());
+        let queue_until = aim_at.plus(Span(-2 * self.settings.sweep_every().0));
+        let order_key = r.key.filter(|_| class.in_order);
+        let entry = RequestState::new(&r, worth_until, queue_until, order_key);
+        let ahead = entry.order_key.and_then(|k| self.key_queues.get(&k)).map_or(0, |l| l.waiting.len());
         self.requests.insert(r.id, entry);
         let in_share = self.in_share(now, r.tenant);
         let starts = now.plus(Span::of(ahead as f64 * self.fleet.mean[r.class]));
         // What can be sent at once needs no time to be held.
-        let latest = if ahead > 0 { hold_until } else { aim_at };
+        let latest = if ahead > 0 { queue_until } else { aim_at };
         if !self.admits(r.class, in_share) || starts >= latest {
-            self.refuse(r.id, out);
+            self.refuse(r.id, actions);
             return;
         }
         if in_share && let Some(q) = self.quotas.get_mut(r.tenant) {
             q.tokens -= 1.0;
         }
-        self.join_line(now, r.id);
-        self.hold(r.id, false);
-        self.dispatch(now, out);
+        self.join_key_queue(now, r.id);
+        self.enqueue(r.id, false);
+        self.dispatch(now, actions);
     }
 
     /// The paper's check: queued plus in-flight stay under the sum of N_i. T_QoS is one for all, the wait
@@ -48,42 +48,42 @@
     /// classes worth less for their work get a smaller part of it.
     pub(super) fn admits(&self, class: usize, in_share: bool) -> bool {
         // Failure: a tenant that sent three times its share took the others' part of a full fleet.
-        let part = if in_share { self.fleet.part[class] } else { 0.0 };
-        let room = &self.rooms[self.room_of[class]];
-        let n = room.n_per_time * (self.fleet.ts + self.fleet.bearable * part);
+        let wait_share = if in_share { self.fleet.wait_share[class] } else { 0.0 };
+        let partition = &self.partitions[self.partition_of[class]];
+        let n = partition.n_per_time * (self.fleet.ts + self.fleet.max_wait * wait_share);
         // With no list yet there is no N to sum: hold until an upstream shows or time is up.
-        n == 0.0 || ((room.queued + room.in_flight) as f64) < self.share(room, n, n).max(1.0)
+        n == 0.0 || ((partition.queued + partition.in_flight) as f64) < self.share(partition, n, n).max(1.0)
     }
 
     /// This proxy's share: its part of `even`, or all that others leave of `n`, as reports tell of them.
     /// Failure: 100 proxies over 60 upstreams refused half of what came with one request out, beside 20 idle.
     /// And room for chance: the binomial deviation of its part of what is free (failure: 300 refused 0.14).
-    pub(super) fn share(&self, room: &Room, even: f64, n: f64) -> f64 {
-        let (p, (free, heard)) = (self.part(), self.fleet.free);
-        let chance = (n * free / heard.max(1.0) * p * (1.0 - p)).sqrt();
-        (even * p + chance).max(room.others.map_or(0.0, |others| n - others))
+    pub(super) fn share(&self, partition: &CapacityPartition, even: f64, n: f64) -> f64 {
+        let (p, (free, report_weight)) = (self.proxy_share(), self.fleet.free);
+        let chance = (n * free / report_weight.max(1.0) * p * (1.0 - p)).sqrt();
+        (even * p + chance).max(partition.others_in_flight.map_or(0.0, |others_in_flight| n - others_in_flight))
     }
 
     pub(super) fn refresh_admission(&mut self) {
         let f = &mut self.fleet;
         let classes = &self.settings.classes;
-        let bear = |(c, m): (&Class, &f64)| c.aim.f() * HOLD_OF_AIM - m;
-        f.bearable = classes.iter().zip(&f.mean).map(bear).fold(f64::MAX, f64::min).max(0.0);
+        let bear = |(c, m): (&Class, &f64)| c.aim.f() * WAIT_SHARE_OF_AIM - m;
+        f.max_wait = classes.iter().zip(&f.mean).map(bear).fold(f64::MAX, f64::min).max(0.0);
         let value = |c: usize, m: &[f64]| classes[c].worth / m[c].max(1.0);
         for c in 0..classes.len() {
             let mine = value(c, &f.mean);
             let below = (0..classes.len()).filter(|&o| value(o, &f.mean) < mine).count();
             let rank =
                 if classes.len() == 1 { 1.0 } else { below as f64 / (classes.len() - 1) as f64 };
-            f.part[c] = LEAST_PART + (1.0 - LEAST_PART) * rank;
+            f.wait_share[c] = MIN_WAIT_SHARE + (1.0 - MIN_WAIT_SHARE) * rank;
         }
     }
 
-    pub(super) fn refuse(&mut self, request: RequestId, out: &mut Vec<Action>) {
+    pub(super) fn refuse(&mut self, request: RequestId, actions: &mut Vec<Action>) {
         // By then all that is queued now has ended: who comes sooner stands behind the same queue.
         let most = self.settings.limits.max_retry_after;
-        let retry_after = Span::of(self.fleet.ts + self.fleet.bearable).min(most);
-        out.push(Action::Refuse { request, retry_after });
+        let retry_after = Span::of(self.fleet.ts + self.fleet.max_wait).min(most);
+        actions.push(Action::Refuse { request, retry_after });
         self.end(request);
     }
 
@@ -91,16 +91,16 @@
         let Some(e) = self.requests.get_mut(&id) else { return };
         e.ended = true;
         let class = e.class;
-        let (was_held, out, turn) = (std::mem::take(&mut e.held), e.out(), e.turn);
-        if was_held {
+        let (was_in_queue, in_flight, order_key) = (std::mem::take(&mut e.in_queue), e.has_in_flight(), e.order_key);
+        if was_in_queue {
             self.count_queued(class, -1);
         }
-        if out {
+        if in_flight {
             return;
         }
         self.requests.remove(&id);
-        if let Some(line) = turn.and_then(|k| self.lines.get_mut(&k)) {
-            line.waiting.retain(|w| *w != id);
+        if let Some(key_queue) = order_key.and_then(|k| self.key_queues.get_mut(&k)) {
+            key_queue.waiting.retain(|w| *w != id);
         }
     }
 }
--- a/src/policy/choice.rs
+++ b/src/policy/choice.rs
@@ -3,12 +3,12 @@
 use super::*;
 
 /// Further attempts for what is late, per first attempt: more is a storm on a fleet that is slow.
-const EXTRA: f64 = 0.3;
+const SECOND_COPIES_PER_REQUEST: f64 = 0.3;
 
 impl Balancer {
-    pub(super) fn hold(&mut self, id: RequestId, at_head: bool) {
+    pub(super) fn enqueue(&mut self, id: RequestId, at_head: bool) {
         let Some(e) = self.requests.get_mut(&id) else { return };
-        e.held = true;
+        e.in_queue = true;
         let class = e.class;
         self.count_queued(class, 1);
         if at_head {
@@ -19,10 +19,10 @@
     }
 
     pub(super) fn count_queued(&mut self, class: usize, change: isize) {
-        let own = self.room_of[class];
-        for (r, room) in self.rooms.iter_mut().enumerate() {
+        let own = self.partition_of[class];
+        for (r, partition) in self.partitions.iter_mut().enumerate() {
             if r == 0 || r == own {
-                room.queued = room.queued.saturating_add_signed(change);
+                partition.queued = partition.queued.saturating_add_signed(change);
             }
         }
     }
@@ -31,47 +31,47 @@
     pub(super) fn count_in_flight(&mut self, server: usize, change: i32) {
         let s = &mut self.servers[server];
         s.in_flight = s.in_flight.saturating_add_signed(change);
-        for r in 0..self.rooms.len() {
-            if self.open_to(self.rooms[r].class, &self.servers[server]) {
-                let n = &mut self.rooms[r].in_flight;
+        for r in 0..self.partitions.len() {
+            if self.open_to(self.partitions[r].class, &self.servers[server]) {
+                let n = &mut self.partitions[r].in_flight;
                 *n = n.saturating_add_signed(change as isize);
             }
         }
     }
 
     /// An ordered request goes to the back of its key's line.
-    pub(super) fn join_line(&mut self, now: Time, id: RequestId) {
-        let Some(key) = self.requests.get(&id).and_then(|e| e.turn) else { return };
-        let new = || Line { waiting: VecDeque::new(), rest_until: now };
-        self.lines.entry(key).or_insert_with(new).waiting.push_back(id);
+    pub(super) fn join_key_queue(&mut self, now: Time, id: RequestId) {
+        let Some(key) = self.requests.get(&id).and_then(|e| e.order_key) else { return };
+        let new = || KeyQueue { waiting: VecDeque::new(), blocked_until: now };
+        self.key_queues.entry(key).or_insert_with(new).waiting.push_back(id);
     }
 
     /// Whether it is at the head of its key's line and the key has rested; always, once it was sent.
-    pub(super) fn has_turn(&self, now: Time, id: RequestId, e: &Entry) -> bool {
-        let Some(line) = e.turn.and_then(|k| self.lines.get(&k)) else { return true };
-        !e.attempts.is_empty() || (line.waiting.front() == Some(&id) && now >= line.rest_until)
+    pub(super) fn is_next_for_key(&self, now: Time, id: RequestId, e: &RequestState) -> bool {
+        let Some(key_queue) = e.order_key.and_then(|k| self.key_queues.get(&k)) else { return true };
+        !e.attempts.is_empty() || (key_queue.waiting.front() == Some(&id) && now >= key_queue.blocked_until)
     }
 
     /// First come, first served, while some upstream has a free slot. One that waits for its key's turn, or
     /// finds no slot among the upstreams it is bound to, holds up only its like.
-    pub(super) fn dispatch(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(super) fn dispatch(&mut self, now: Time, actions: &mut Vec<Action>) {
         let mut i = 0;
-        let mut shut = vec![false; self.rooms.len()];
+        let mut shut = vec![false; self.partitions.len()];
         while let Some(&id) = self.queue.get(i) {
-            let Some(e) = self.requests.get(&id).filter(|e| e.held) else {
+            let Some(e) = self.requests.get(&id).filter(|e| e.in_queue) else {
                 self.queue.remove(i);
                 continue;
             };
             let fresh = e.attempts.is_empty();
-            let r = self.room_of[e.class];
-            if (fresh && shut[r]) || !self.has_turn(now, id, e) {
+            let r = self.partition_of[e.class];
+            if (fresh && shut[r]) || !self.is_next_for_key(now, id, e) {
                 i += 1;
                 continue;
             }
-            let full = self.rooms[r].in_flight as f64 >= self.rooms[r].slots.max(1.0);
+            let full = self.partitions[r].in_flight as f64 >= self.partitions[r].slots.max(1.0);
             if let Some(server) = self.pick(now, id, full) {
                 self.queue.remove(i);
-                self.send(now, id, server, out);
+                self.send(now, id, server, actions);
                 continue;
             }
             // Nothing is free. A repeat may merely be bound to other upstreams: look behind it.
@@ -88,7 +88,7 @@
     pub(super) fn pick(&self, now: Time, id: RequestId, full: bool) -> Option<usize> {
         let e = self.requests.get(&id)?;
         let mut last = None;
-        for &i in &self.order {
+        for &i in &self.preference {
             let s = &self.servers[i];
             let trial = if full { s.trial } else { s.trial.min(0) };
             // Failure: a proxy at its limit sent on trial to upstreams that it had left idle as slow.
@@ -107,22 +107,22 @@
         last
     }
 
-    pub(super) fn send(&mut self, now: Time, id: RequestId, server: usize, out: &mut Vec<Action>) {
+    pub(super) fn send(&mut self, now: Time, id: RequestId, server: usize, actions: &mut Vec<Action>) {
         self.count_send(now, server);
         self.count_level(now, server, None);
         let Some(e) = self.requests.get_mut(&id) else { return };
-        e.held = false;
+        e.in_queue = false;
         let first = e.attempts.is_empty();
-        let before = e.begin_until(&self.settings.classes[e.class]);
-        self.out.push((id, e.attempts.len()));
+        let before = e.latest_begin(&self.settings.classes[e.class]);
+        self.in_flight_attempts.push((id, e.attempts.len()));
         // While its body is coming the upstream has nothing to do, and no slot is taken.
-        e.attempts.push(Attempt { freed: e.coming, ..Attempt::new(server, now) });
+        e.attempts.push(Attempt { slot_freed: e.coming, ..Attempt::new(server, now) });
         let (class, timeout, slots) = (e.class, e.worth_until.since(now), i32::from(!e.coming));
         self.count_queued(class, -1);
         self.count_in_flight(server, slots);
         if first {
-            self.extra = (self.extra + EXTRA).min(self.rooms[0].slots.max(1.0));
+            self.second_copy_budget = (self.second_copy_budget + SECOND_COPIES_PER_REQUEST).min(self.partitions[0].slots.max(1.0));
         }
-        out.push(Action::Send { request: id, server: self.servers[server].id, timeout, before });
+        actions.push(Action::Send { request: id, server: self.servers[server].id, timeout, before });
     }
 }
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -5,49 +5,49 @@
 /// An attempt that failed counts as this many mean service times at least.
 const FAULT_SLOWNESS: f64 = 5.0;
 /// With so much of the fleet shut to a class it is the fleet that is slow, and none is shut.
-const PANIC: f64 = 0.75;
+const PANIC_THRESHOLD: f64 = 0.75;
 /// An upstream this many times slower than the mean is a suspect.
-const SUSPECT: f64 = 2.0;
+const OUTLIER_SLOWNESS: f64 = 2.0;
 /// Least reach in the cost of an upstream, so that slowness tells also in the middle of one's part.
-const NEAR: f64 = 0.1;
+const MIN_DISTANCE: f64 = 0.1;
 /// Most requests that an upstream is tried with side by side.
-const MOST_LANES: usize = 32;
+const MAX_CONCURRENCY: usize = 32;
 /// An unseen level weighs as so many answers that no more gets done than one below, as the paper has it.
-const LANE_PRIOR: f64 = 16.0;
+const LEVEL_PRIOR_ANSWERS: f64 = 16.0;
 /// Answers that what is known of a level reaches back over.
-const LANE_MEMORY: f64 = 128.0;
+const LEVEL_MEMORY_ANSWERS: f64 = 128.0;
 /// Answers at the level in use that others are measured against, each round.
-const LANE_ROUND: f64 = 8.0;
+const MIN_ROUND_ANSWERS: f64 = 8.0;
 /// A longer wait for the next answer, in service times, tells of a fault, not of the level.
-const LANE_GAP: f64 = 5.0;
+const MAX_GAP_SERVICE_TIMES: f64 = 5.0;
 /// The fewest lanes that reach this share of the best throughput are taken: more is bought with latency.
-const LANES_ENOUGH: f64 = 0.75;
+const SUFFICIENT_THROUGHPUT_SHARE: f64 = 0.75;
 /// How long a trial runs, in service times: a few answers at each level.
-const TRIAL_OF_TS: f64 = 4.0;
+const TRIAL_SERVICE_TIMES: f64 = 4.0;
 /// Share of the upstreams that are tried with more lanes once enough is known of them.
-const TRIALS_LATER: f64 = 1.0 / 96.0;
+const TRIAL_SHARE: f64 = 1.0 / 96.0;
 
 /// What the answers of one upstream told: the round trip is split into 2*TP + TS.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Estimate {
     /// Twice the propagation time, known once an answer did no work: the least round trip of any answer.
     pub(super) tp2: Option<f64>,
-    pub(super) least: f64,
+    pub(super) min_round_trip: f64,
     /// Slowness: service time, waiting at the upstream included, over the fleet's mean for the same class.
     /// TS_i is this times the fleet's mean, whatever mix of classes it drew.
-    pub(super) slow: f64,
+    pub(super) slowness: f64,
 }
 
 impl Estimate {
     /// Before any answer: as fast as the fleet's mean.
-    pub(super) const NONE: Self = Self { tp2: None, least: f64::INFINITY, slow: 1.0 };
+    pub(super) const NONE: Self = Self { tp2: None, min_round_trip: f64::INFINITY, slowness: 1.0 };
 
     /// Takes in an answer of this latency, where the fleet's mean for its class is `mean`.
     pub(super) fn learn(&mut self, outcome: Outcome, latency: f64, mean: f64) {
         // Failure: an upstream that stood still turned away late; as propagation, that left no N_i.
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full) {
-            self.least = self.least.min(latency);
-            self.tp2 = (outcome == Outcome::Full || self.tp2.is_some()).then_some(self.least);
+            self.min_round_trip = self.min_round_trip.min(latency);
+            self.tp2 = (outcome == Outcome::Full || self.tp2.is_some()).then_some(self.min_round_trip);
         }
         let service = (latency - self.tp2.unwrap_or(0.0)).max(1.0) / mean;
         let service = match outcome {
@@ -56,7 +56,7 @@
             Outcome::Error | Outcome::Timeout | Outcome::Reset => service.max(FAULT_SLOWNESS),
             _ => return,
         };
-        self.slow += (service.min(SLOWNESS_MAX) - self.slow) * TS_GAIN;
+        self.slowness += (service.min(SLOWNESS_MAX) - self.slowness) * TS_GAIN;
     }
 }
 
@@ -66,39 +66,39 @@
 /// Failure: judged by how long answers take at each level, one core looked like two: attempts that end before
 /// their neighbour does are the short ones.
 #[derive(Clone, Debug)]
-pub(super) struct Lanes {
+pub(super) struct Concurrency {
     pub(super) count: usize,
     pub(super) level: Vec<Level>,
 }
 
-impl Lanes {
+impl Concurrency {
     pub(super) fn new() -> Self {
-        Self { count: 1, level: vec![Level::default(); MOST_LANES + 1] }
+        Self { count: 1, level: vec![Level::default(); MAX_CONCURRENCY + 1] }
     }
 
     /// Ends a round, if enough was seen, and takes the fewest lanes that get enough done.
     pub(super) fn choose(&mut self) {
         let now = self.level[self.count];
-        if now.done < LANE_ROUND {
+        if now.done < MIN_ROUND_ANSWERS {
             return;
         }
         let rate = now.done / now.time.max(1.0);
-        let mut gain = [0.0; MOST_LANES + 1];
+        let mut gain = [0.0; MAX_CONCURRENCY + 1];
         let (mut top, mut best) = (1, 0.0);
-        for n in 1..=MOST_LANES {
+        for n in 1..=MAX_CONCURRENCY {
             let l = &mut self.level[n];
-            (l.all, l.expected) = (l.all + l.done, l.expected + l.time * rate);
+            (l.total, l.expected) = (l.total + l.done, l.expected + l.time * rate);
             (l.time, l.done) = (0.0, 0.0);
-            if l.all > LANE_MEMORY {
-                (l.all, l.expected) = (l.all / 2.0, l.expected / 2.0);
+            if l.total > LEVEL_MEMORY_ANSWERS {
+                (l.total, l.expected) = (l.total / 2.0, l.expected / 2.0);
             }
             let below = if n == 1 { 1.0 } else { gain[n - 1] };
-            gain[n] = (l.all + LANE_PRIOR * below) / (l.expected + LANE_PRIOR);
+            gain[n] = (l.total + LEVEL_PRIOR_ANSWERS * below) / (l.expected + LEVEL_PRIOR_ANSWERS);
             if l.expected > 0.0 {
                 (top, best) = (n, gain[n].max(best));
             }
         }
-        let enough = (1..=top).find(|&n| gain[n] >= LANES_ENOUGH * best).unwrap_or(1);
+        let enough = (1..=top).find(|&n| gain[n] >= SUFFICIENT_THROUGHPUT_SHARE * best).unwrap_or(1);
         if enough != self.count {
             self.count = enough;
             self.level.iter_mut().for_each(|l| l.expected *= gain[enough]);
@@ -108,8 +108,8 @@
     /// The level to try next, and whether enough is known of it. Twice the count, a step that wins more than
     /// LANES_ENOUGH asks. Failure: tried with one more, six cores stuck at three lanes for good.
     pub(super) fn next(&self) -> (usize, bool) {
-        let next = (2 * self.count).min(MOST_LANES);
-        (next, self.level[next].expected >= LANE_PRIOR)
+        let next = (2 * self.count).min(MAX_CONCURRENCY);
+        (next, self.level[next].expected >= LEVEL_PRIOR_ANSWERS)
     }
 }
 
@@ -121,23 +121,23 @@
     pub(super) mean: Vec<f64>,
     pub(super) dev: Vec<f64>,
     /// Share of the attempts for which the time of a second copy came and that were never answered.
-    pub(super) hopeless: Vec<f64>,
+    pub(super) unanswered_share: Vec<f64>,
     /// The longest wait that each class can bear, and the part of it that a class may use.
-    pub(super) bearable: f64,
-    pub(super) part: Vec<f64>,
+    pub(super) max_wait: f64,
+    pub(super) wait_share: Vec<f64>,
     pub(super) tp2: f64,
     /// By kind of upstream.
-    pub(super) lanes: Vec<Lanes>,
-    pub(super) tried: Time,
+    pub(super) concurrency: Vec<Concurrency>,
+    pub(super) last_trial: Time,
     /// This proxy's limit in even parts of the bank, and TS as it was in good times. Failure: judged by the
     /// TS of the moment, a whole bank that crowds itself never looks crowded.
-    pub(super) leeway: f64,
-    pub(super) good: f64,
+    pub(super) overcommit: f64,
+    pub(super) baseline_ts: f64,
     /// Answers of warm upstreams, a decaying count by kind; and the highest rate of them per unit of weight
     /// that was seen lately, by kind and over all.
     pub(super) warm_served: Vec<f64>,
     pub(super) warm_rate: Vec<f64>,
-    pub(super) any_rate: f64,
+    pub(super) overall_warm_rate: f64,
     pub(super) counted: Time,
     /// Requests of the whole bank at one upstream, as reports tell.
     pub(super) load: Option<f64>,
@@ -147,22 +147,22 @@
 
 impl Balancer {
     pub(super) fn ts(&self, s: &Server) -> f64 {
-        self.fleet.ts * s.est.slow
+        self.fleet.ts * s.estimate.slowness
     }
 
     pub(super) fn tp2(&self, s: &Server) -> f64 {
-        s.est.tp2.unwrap_or(self.fleet.tp2)
+        s.estimate.tp2.unwrap_or(self.fleet.tp2)
     }
 
     /// Requests that upstreams of its kind run side by side.
-    pub(super) fn lanes(&self, s: &Server) -> f64 {
-        self.fleet.lanes[s.kind as usize].count as f64
+    pub(super) fn concurrency(&self, s: &Server) -> f64 {
+        self.fleet.concurrency[s.kind as usize].count as f64
     }
 
     /// K_i = 2*TP_i / TS_i + 1 for an upstream that runs one request at a time, and one more for each further
     /// lane; N_i at most.
     pub(super) fn k_exact(&self, s: &Server, tp2: f64) -> f64 {
-        (tp2 / self.ts(s) + self.lanes(s)).min(self.n_rate(s) * self.t_qos)
+        (tp2 / self.ts(s) + self.concurrency(s)).min(self.n_rate(s) * self.t_qos)
     }
 
     /// K_i in whole requests, with lanes on trial; at least one, or the upstream would never update. Fewer
@@ -170,78 +170,78 @@
     /// after a drain, a proxy left upstreams idle between two requests.
     pub(super) fn k(&self, s: &Server, trial: i32) -> u32 {
         let tp2 = self.tp2(s);
-        let bank = self.k_exact(s, if s.est.least.is_finite() { s.est.least } else { tp2 });
-        let k = self.k_exact(s, tp2).max((bank - s.others).ceil());
+        let bank = self.k_exact(s, if s.estimate.min_round_trip.is_finite() { s.estimate.min_round_trip } else { tp2 });
+        let k = self.k_exact(s, tp2).max((bank - s.others_in_flight).ceil());
         (k as i32 + trial).max(1) as u32
     }
 
     /// N_i per unit of time: 1 / (2*TP_i + TS_i) for each lane.
     pub(super) fn n_rate(&self, s: &Server) -> f64 {
-        self.lanes(s) / (self.tp2(s) + self.ts(s))
+        self.concurrency(s) / (self.tp2(s) + self.ts(s))
     }
 
-    pub(super) fn refresh_lanes(&mut self, now: Time) {
-        if now.since(self.fleet.tried).f() < self.fleet.ts * TRIAL_OF_TS {
+    pub(super) fn refresh_concurrency(&mut self, now: Time) {
+        if now.since(self.fleet.last_trial).f() < self.fleet.ts * TRIAL_SERVICE_TIMES {
             return;
         }
-        self.fleet.tried = now;
-        self.fleet.lanes.iter_mut().for_each(Lanes::choose);
+        self.fleet.last_trial = now;
+        self.fleet.concurrency.iter_mut().for_each(Concurrency::choose);
         // One own upstream at a time, or half of them while nothing is known of more lanes (failure: at six
         // cores, learned one by one, a quarter was refused for the first minute of a quiet day). Not beyond
         // one's own part: there the trials of a bank would meet.
         self.servers.iter_mut().for_each(|s| s.trial = 0);
-        let own = |&i: &usize| self.servers[i].reach <= OWN && self.fair(now, &self.servers[i]);
-        let own: Vec<usize> = self.order.iter().copied().filter(own).collect();
+        let own = |&i: &usize| self.servers[i].distance <= OWN_DISTANCE && self.is_representative(now, &self.servers[i]);
+        let own: Vec<usize> = self.preference.iter().copied().filter(own).collect();
         if own.is_empty() {
             return;
         }
         for &i in &own {
-            let lanes = &self.fleet.lanes[self.servers[i].kind as usize];
-            let (next, known) = lanes.next();
+            let concurrency = &self.fleet.concurrency[self.servers[i].kind as usize];
+            let (next, known) = concurrency.next();
             if !known && self.rng.rand_float() < 0.5 {
-                self.servers[i].trial = (next - lanes.count) as i32;
+                self.servers[i].trial = (next - concurrency.count) as i32;
             }
         }
         let [more, fewer] =
             [(), ()].map(|()| own[self.rng.rand_range(0..own.len() as u64) as usize]);
-        let lanes = &self.fleet.lanes[self.servers[more].kind as usize];
-        let (next, known) = lanes.next();
+        let concurrency = &self.fleet.concurrency[self.servers[more].kind as usize];
+        let (next, known) = concurrency.next();
         if !known {
             return;
         }
-        if self.rng.rand_float() < TRIALS_LATER * own.len() as f64 {
-            self.servers[more].trial = (next - lanes.count) as i32;
+        if self.rng.rand_float() < TRIAL_SHARE * own.len() as f64 {
+            self.servers[more].trial = (next - concurrency.count) as i32;
         } else {
-            let count = self.fleet.lanes[self.servers[fewer].kind as usize].count;
+            let count = self.fleet.concurrency[self.servers[fewer].kind as usize].count;
             self.servers[fewer].trial = -((count - 1).min((count / 3).max(1)) as i32);
         }
     }
 
     /// The part of the bank's work that falls to this proxy. The paper's one balancer sees all.
-    pub(super) fn part(&self) -> f64 {
-        (self.fleet.leeway / f64::from(self.settings.balancers)).min(1.0)
+    pub(super) fn proxy_share(&self) -> f64 {
+        (self.fleet.overcommit / f64::from(self.settings.balancers)).min(1.0)
     }
 
     /// Young upstreams and outliers say nothing of their kind.
-    pub(super) fn fair(&self, now: Time, s: &Server) -> bool {
-        s.est.slow <= SUSPECT && self.cold_share(now, s).is_none()
+    pub(super) fn is_representative(&self, now: Time, s: &Server) -> bool {
+        s.estimate.slowness <= OUTLIER_SLOWNESS && self.cold_share(now, s).is_none()
     }
 
     /// Books the time since the last change of an upstream's in-flight, and the work of an answer that ends
     /// it.
     pub(super) fn count_level(&mut self, now: Time, server: usize, answered: Option<usize>) {
         let s = &self.servers[server];
-        let time = now.since(s.changed).f().min(self.ts(s) * LANE_GAP);
+        let time = now.since(s.in_flight_changed).f().min(self.ts(s) * MAX_GAP_SERVICE_TIMES);
         let (kind, level) = (s.kind as usize, s.in_flight as usize);
-        if self.fair(now, s) && (1..=MOST_LANES).contains(&level) {
-            let l = &mut self.fleet.lanes[kind].level[level];
+        if self.is_representative(now, s) && (1..=MAX_CONCURRENCY).contains(&level) {
+            let l = &mut self.fleet.concurrency[kind].level[level];
             l.time += time;
             l.done += answered.map_or(0.0, |class| self.fleet.mean[class] / self.fleet.ts);
         }
-        self.servers[server].changed = now;
+        self.servers[server].in_flight_changed = now;
     }
 
-    pub(super) fn learn_means(&mut self, class: usize, latency: f64) {
+    pub(super) fn learn_class_mean(&mut self, class: usize, latency: f64) {
         self.fleet.ts += (latency - self.fleet.ts) * MEAN_GAIN;
         let (mean, dev) = (&mut self.fleet.mean[class], &mut self.fleet.dev[class]);
         let (off, new) = ((latency - *mean).abs(), *mean == 0.0);
@@ -263,33 +263,33 @@
     }
 
     pub(super) fn refresh_fleet(&mut self, now: Time) {
-        let tp2 = self.servers.iter().filter_map(|s| s.est.tp2);
+        let tp2 = self.servers.iter().filter_map(|s| s.estimate.tp2);
         let (sum, seen) = tp2.fold((0.0, 0.0), |(sum, seen), t| (sum + t, seen + 1.0));
         if seen > 0.0 {
             self.fleet.tp2 = sum / seen;
         }
         let shut = |c: usize| {
             let open = |i: &&usize| self.open_to(Some(c), &self.servers[**i]);
-            let (all, shut) = self.order.iter().filter(open).fold((0.0, 0.0), |(all, shut), &i| {
+            let (all, shut) = self.preference.iter().filter(open).fold((0.0, 0.0), |(all, shut), &i| {
                 (all + 1.0, shut + f64::from(now < self.servers[i].by_class[c].until))
             });
-            shut > all * PANIC
+            shut > all * PANIC_THRESHOLD
         };
-        self.panic = (0..self.room_of.len()).map(shut).collect();
-        for r in 0..self.rooms.len() {
-            let class = self.rooms[r].class;
+        self.panic = (0..self.partition_of.len()).map(shut).collect();
+        for r in 0..self.partitions.len() {
+            let class = self.partitions[r].class;
             let live = |s: &&Server| s.status == Status::Live && self.open_to(class, s);
             let k = |s: &Server| self.k_exact(s, self.tp2(s));
             let sum = |(u, sum, n), s: &Server| (u + 1.0, sum + k(s), n + self.n_rate(s));
             let (u, k, n) = self.servers.iter().filter(live).fold((0.0, 0.0, 0.0), sum);
-            let others = |load: f64| (load * u - self.rooms[r].in_flight as f64).max(0.0);
-            let room = Room { others: self.fleet.load.map(others), n_per_time: n, ..self.rooms[r] };
-            let slots = self.share(&room, k, n * (self.fleet.ts + self.fleet.bearable));
-            self.rooms[r] = Room { slots, even: k * self.part(), ..room };
+            let others_in_flight = |load: f64| (load * u - self.partitions[r].in_flight as f64).max(0.0);
+            let partition = CapacityPartition { others_in_flight: self.fleet.load.map(others_in_flight), n_per_time: n, ..self.partitions[r] };
+            let slots = self.share(&partition, k, n * (self.fleet.ts + self.fleet.max_wait));
+            self.partitions[r] = CapacityPartition { slots, even: k * self.proxy_share(), ..partition };
         }
-        let (order, servers) = (&mut self.order, &self.servers);
-        let cost = |i: usize| (NEAR + servers[i].reach) * servers[i].est.slow * servers[i].est.slow;
-        order.sort_by(|&a, &b| cost(a).total_cmp(&cost(b)));
+        let (preference, servers) = (&mut self.preference, &self.servers);
+        let cost = |i: usize| (MIN_DISTANCE + servers[i].distance) * servers[i].estimate.slowness * servers[i].estimate.slowness;
+        preference.sort_by(|&a, &b| cost(a).total_cmp(&cost(b)));
         self.refresh_admission();
     }
 }
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -3,61 +3,61 @@
 use super::*;
 
 /// Points of the proxies on the ring: multiples of the golden ratio are even for any run and every n-th.
-const GOLDEN: f64 = 0.618_033_988_749_895;
+const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
 /// An upstream across zones, where crossing has a price, is as far as a whole part of the fleet.
-const FAR: f64 = 1.0;
+const CROSS_ZONE_DISTANCE: f64 = 1.0;
 
 impl Balancer {
-    pub(super) fn members(
+    pub(super) fn handle_members(
         &mut self,
         now: Time,
         kind: ListKind,
         list: &[Member],
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if kind == ListKind::Unavailable {
-            let lost = std::mem::take(&mut self.ask.subscribed);
-            self.ask.failures = (self.ask.failures + 1).min(3);
-            let wait = self.jitter(ASK_JITTER_OF_EVERY * f64::from(1 << self.ask.failures));
-            let most = if lost { self.settings.rules.drain_grace } else { ASK_AGAIN_MOST };
-            self.ask.next = now.plus(wait.min(most));
+            let lost = std::mem::take(&mut self.list_calls.subscribed);
+            self.list_calls.failures = (self.list_calls.failures + 1).min(3);
+            let wait = self.jitter(LIST_CALL_JITTER_SHARE * f64::from(1 << self.list_calls.failures));
+            let most = if lost { self.settings.rules.drain_grace } else { MAX_LIST_CALL_DELAY };
+            self.list_calls.next = now.plus(wait.min(most));
             return;
         }
         if kind != ListKind::Restored {
-            (self.ask.subscribed, self.ask.failures) = (true, 0);
+            (self.list_calls.subscribed, self.list_calls.failures) = (true, 0);
         }
         let before: Vec<Status> = self.servers.iter().map(|s| s.status).collect();
         if kind != ListKind::Update {
             self.servers.iter_mut().for_each(|s| s.status = Status::Gone);
         }
         for m in list {
-            self.member(now, m);
+            self.update_member(now, m);
         }
         for i in 0..self.servers.len() {
             if before.get(i).is_none_or(|was| *was != self.servers[i].status) {
                 self.servers[i].close_until = now.plus(self.settings.rules.drain_close);
-                self.close_idle(now, i, out);
+                self.close_idle(now, i, actions);
             }
         }
-        for r in 0..self.rooms.len() {
-            let open = self.servers.iter().filter(|s| self.open_to(self.rooms[r].class, s));
-            self.rooms[r].in_flight = open.map(|s| s.in_flight as usize).sum();
+        for r in 0..self.partitions.len() {
+            let open = self.servers.iter().filter(|s| self.open_to(self.partitions[r].class, s));
+            self.partitions[r].in_flight = open.map(|s| s.in_flight as usize).sum();
         }
-        self.draw_parts();
+        self.assign_ring_distances();
         self.refresh_warm(now);
         self.refresh_fleet(now);
-        self.dispatch(now, out);
+        self.dispatch(now, actions);
     }
 
     /// Lays the upstreams of each zone on a ring, and this proxy at its own point of it. The points of any
     /// run of proxies, or of every n-th, are spread evenly (multiples of the golden ratio).
-    pub(super) fn draw_parts(&mut self) {
+    pub(super) fn assign_ring_distances(&mut self) {
         let mut live: Vec<usize> = (0..self.servers.len()).collect();
         live.retain(|&i| self.servers[i].status == Status::Live);
         let priced = self.settings.prices.cross_zone > 0.0;
         let zone = |s: &Server| if priced { s.zone } else { 0 };
         live.sort_by_key(|&i| (zone(&self.servers[i]), self.servers[i].identity));
-        let own = (f64::from(self.settings.position) * GOLDEN).fract();
+        let own = (f64::from(self.settings.position) * GOLDEN_RATIO_FRACTION).fract();
         let zones = if priced { f64::from(self.settings.zones.max(1)) } else { 1.0 };
         let banks = f64::from(self.settings.balancers) / zones;
         let mut at = 0;
@@ -66,30 +66,30 @@
             let n = live[at..].iter().take_while(|&&i| zone(&self.servers[i]) == z).count();
             for (j, &i) in live[at..at + n].iter().enumerate() {
                 let d = ((j as f64 + 0.5) / n as f64 - own).abs();
-                let far = if priced && z != self.settings.zone { FAR } else { 0.0 };
-                self.servers[i].reach = d.min(1.0 - d) * banks.max(1.0) + far;
+                let far = if priced && z != self.settings.zone { CROSS_ZONE_DISTANCE } else { 0.0 };
+                self.servers[i].distance = d.min(1.0 - d) * banks.max(1.0) + far;
             }
             at += n;
         }
-        self.order = live;
+        self.preference = live;
     }
 
     /// Closes what idles at an upstream that drains or is gone, where a rule asks for it: on the notice,
     /// after each outcome there, and once a sweep for as long as the rule allows, since a connection may come
     /// free a moment after the outcome that used it was told.
-    pub(super) fn close_idle(&mut self, now: Time, server: usize, out: &mut Vec<Action>) {
+    pub(super) fn close_idle(&mut self, now: Time, server: usize, actions: &mut Vec<Action>) {
         let s = &mut self.servers[server];
         let within = self.settings.rules.drain_close;
         if within.0 <= 0 || s.status == Status::Live {
             return;
         }
-        out.push(Action::CloseIdle { server: s.id });
+        actions.push(Action::CloseIdle { server: s.id });
         if s.in_flight > 0 {
             s.close_until = now.plus(within);
         }
     }
 
-    pub(super) fn member(&mut self, now: Time, m: &Member) {
+    pub(super) fn update_member(&mut self, now: Time, m: &Member) {
         let fresh = self.servers.len();
         let i = *self.by_id.entry(m.id).or_insert(fresh);
         if i == fresh {
@@ -103,28 +103,28 @@
                 started: None,
                 identity: m.identity,
                 in_flight: 0,
-                changed: now,
+                in_flight_changed: now,
                 breaker: Breaker::default(),
                 by_class: vec![Breaker::default(); self.settings.classes.len()],
-                answered: Time(i64::MIN),
-                est: Estimate::NONE,
+                last_answered_sent: Time(i64::MIN),
+                estimate: Estimate::NONE,
                 tokens: 0.0,
                 refilled: now,
                 trial: 0,
-                others: 1.0,
-                reach: 0.0,
+                others_in_flight: 1.0,
+                distance: 0.0,
                 close_until: now,
             });
         }
         // Spread over the bank: a random part of the first send is already earned.
         let head_start = self.rng.rand_float();
         let kind = m.kind.min(255) as usize;
-        let lanes = &mut self.fleet.lanes;
-        lanes.resize_with(lanes.len().max(kind + 1), Lanes::new);
+        let concurrency = &mut self.fleet.concurrency;
+        concurrency.resize_with(concurrency.len().max(kind + 1), Concurrency::new);
         let s = &mut self.servers[i];
         if s.started != m.started && m.started.is_some() {
             (s.tokens, s.refilled) = (head_start, now);
-            s.est.slow = Estimate::NONE.slow;
+            s.estimate.slowness = Estimate::NONE.slowness;
             s.breaker = Breaker::default();
             s.by_class.fill(Breaker::default());
         }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -20,10 +20,10 @@
 use crate::interface::*;
 use crate::state::*;
 use breaker::Breaker;
-use estimates::{Estimate, Fleet, Lanes};
+use estimates::{Estimate, Fleet, Concurrency};
 
 /// Housekeeping period as a share of the shortest aim: held requests are refused close to their limit.
-const SWEEP_OF_AIM: f64 = 1.0 / 32.0;
+const SWEEP_PERIOD_SHARE_OF_AIM: f64 = 1.0 / 32.0;
 /// Weight of a new round trip in TS (per answer): about the last eight answers count.
 const TS_GAIN: f64 = 0.125;
 /// Weight of a new answer in the fleet's mean of its class.
@@ -31,18 +31,18 @@
 /// One answer counts as this many at most: a heavy request must not condemn the upstream that drew it.
 const SLOWNESS_MAX: f64 = 10.0;
 /// Own are the upstreams within half a part to either side.
-const OWN: f64 = 0.5;
+const OWN_DISTANCE: f64 = 0.5;
 /// A proxy starts with so many times its even part of the bank's slots: clients are never spread evenly.
-const LEEWAY: f64 = 1.2;
+const BASE_OVERCOMMIT: f64 = 1.2;
 /// TS of an upstream before any answer from any upstream, as a share of T_QoS.
-const TS_PRIOR_OF_QOS: f64 = 0.25;
+const INITIAL_TS_SHARE_OF_QOS: f64 = 0.25;
 /// Longest first wait before the list is asked, as a share of `ask_every`: restarts must not swamp it.
-const ASK_JITTER_OF_EVERY: f64 = 0.05;
+const LIST_CALL_JITTER_SHARE: f64 = 0.05;
 /// Longest wait for the first call for the list or after a failed one: news count as told 6 s after they
 /// could be had (STANDING), and the call waits for its turn too.
-const ASK_AGAIN_MOST: Span = Span(2_000_000);
+const MAX_LIST_CALL_DELAY: Span = Span(2_000_000);
 /// A list call unanswered for this share of `ask_every` is made again.
-const ASK_AGAIN_OF_EVERY: f64 = 0.5;
+const LIST_CALL_RETRY_SHARE: f64 = 0.5;
 
 impl Settings {
     /// T_QoS: one target for all, the mean of the class aims.
@@ -52,7 +52,7 @@
 
     fn sweep_every(&self) -> Span {
         let aim = self.classes.iter().map(|c| c.aim.0).min().unwrap_or(0);
-        Span(((aim as f64 * SWEEP_OF_AIM) as i64).max(self.tick.0))
+        Span(((aim as f64 * SWEEP_PERIOD_SHARE_OF_AIM) as i64).max(self.tick.0))
     }
 }
 
@@ -68,22 +68,22 @@
     identity: u64,
     in_flight: u32,
     /// When that last changed.
-    changed: Time,
+    in_flight_changed: Time,
     /// Turned away or out of reach; and, class by class, unanswered or in error.
     breaker: Breaker,
     by_class: Vec<Breaker>,
     /// When the latest-sent of its answered attempts was sent.
-    answered: Time,
-    est: Estimate,
+    last_answered_sent: Time,
+    estimate: Estimate,
     /// Sends a young upstream may still get, and when that was last reckoned.
     tokens: f64,
     refilled: Time,
     /// Lanes more or fewer than its kind has, by way of trial.
     trial: i32,
     /// Requests of other proxies there, as its reports tell; one until they do.
-    others: f64,
+    others_in_flight: f64,
     /// How far from this proxy's own part of the fleet, in such parts.
-    reach: f64,
+    distance: f64,
     /// Until when idle connections are closed again and again, where a rule asks for it.
     close_until: Time,
 }
@@ -97,26 +97,26 @@
     started: bool,
     servers: Vec<Server>,
     /// Live upstreams, own ones first.
-    order: Vec<usize>,
+    preference: Vec<usize>,
     by_id: FxHashMap<ServerId, usize>,
-    requests: FxHashMap<RequestId, Entry>,
+    requests: FxHashMap<RequestId, RequestState>,
     queue: VecDeque<RequestId>,
-    lines: FxHashMap<u64, Line>,
-    rooms: Vec<Room>,
+    key_queues: FxHashMap<u64, KeyQueue>,
+    partitions: Vec<CapacityPartition>,
     /// Which of them each class has.
-    room_of: Vec<usize>,
+    partition_of: Vec<usize>,
     /// Attempts that are out, and further ones that what is overdue may still have.
-    out: Vec<(RequestId, usize)>,
-    extra: f64,
+    in_flight_attempts: Vec<(RequestId, usize)>,
+    second_copy_budget: f64,
     /// Whether so much of the fleet is shut to a class that it is open to it all the same.
     panic: Vec<bool>,
     fleet: Fleet,
     /// What each tenant may still send within its share.
     quotas: Vec<Quota>,
-    ask: Asking,
+    list_calls: ListCalls,
 }
 
-const SWEEP: u64 = 1;
+const SWEEP_TIMER: u64 = 1;
 
 impl Balancer {
     /// A balancer that knows its settings and nothing else yet. Its first event starts its timers: give it
@@ -124,56 +124,56 @@
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
         let settings = settings.checked()?;
         let t_qos = settings.t_qos();
-        let (rooms, room_of) = settings.rooms();
+        let (partitions, partition_of) = settings.partitions();
         let classes = settings.classes.len();
         Ok(Self {
             t_qos,
             rng: Rand64::new(u128::from(seed)),
             started: false,
             servers: Vec::new(),
-            order: Vec::new(),
+            preference: Vec::new(),
             by_id: FxHashMap::default(),
             requests: FxHashMap::default(),
             queue: VecDeque::new(),
-            lines: FxHashMap::default(),
-            rooms,
-            room_of,
-            out: Vec::new(),
-            extra: 1.0,
+            key_queues: FxHashMap::default(),
+            partitions,
+            partition_of,
+            in_flight_attempts: Vec::new(),
+            second_copy_budget: 1.0,
             panic: vec![false; classes],
             fleet: Fleet {
-                ts: t_qos * TS_PRIOR_OF_QOS,
+                ts: t_qos * INITIAL_TS_SHARE_OF_QOS,
                 mean: vec![0.0; classes],
                 dev: vec![0.0; classes],
-                hopeless: vec![0.0; classes],
-                bearable: t_qos * TS_PRIOR_OF_QOS,
-                part: vec![1.0; classes],
-                lanes: vec![Lanes::new()],
-                tried: now,
-                leeway: LEEWAY,
-                good: t_qos,
+                unanswered_share: vec![0.0; classes],
+                max_wait: t_qos * INITIAL_TS_SHARE_OF_QOS,
+                wait_share: vec![1.0; classes],
+                concurrency: vec![Concurrency::new()],
+                last_trial: now,
+                overcommit: BASE_OVERCOMMIT,
+                baseline_ts: t_qos,
                 counted: now,
                 ..Fleet::default()
             },
             quotas: settings.tenants.iter().map(|_| Quota { tokens: 1.0, counted: now }).collect(),
-            ask: Asking { subscribed: false, next: now, failures: 0 },
+            list_calls: ListCalls { subscribed: false, next: now, failures: 0 },
             settings,
         })
     }
 
     /// Takes in what happened and appends what is to be done about it, in order.
-    pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.started, true) {
-            self.ask.next = now.plus(self.jitter(ASK_JITTER_OF_EVERY).min(ASK_AGAIN_MOST));
-            self.arm(now, out);
+            self.list_calls.next = now.plus(self.jitter(LIST_CALL_JITTER_SHARE).min(MAX_LIST_CALL_DELAY));
+            self.arm_sweep_timer(now, actions);
         }
         match event {
-            Event::Members { kind, list } => self.members(now, kind, list, out),
-            Event::Request(r) => self.request(now, r, out),
-            Event::Answered(a) => self.outcome(now, a, out),
-            Event::Whole(id) => self.whole(now, id),
+            Event::Members { kind, list } => self.handle_members(now, kind, list, actions),
+            Event::Request(r) => self.handle_request(now, r, actions),
+            Event::Answered(a) => self.handle_outcome(now, a, actions),
+            Event::BodyComplete(id) => self.handle_body_complete(now, id),
             Event::Started(id) | Event::Left(id) => self.end(id),
-            Event::Timer(SWEEP) => self.timer(now, out),
+            Event::Timer(SWEEP_TIMER) => self.handle_timer(now, actions),
             Event::Timer(_) | Event::Probed { .. } => {}
         }
     }
@@ -182,33 +182,33 @@
         Span::of(self.rng.rand_float() * of_every * self.settings.rules.ask_every.f())
     }
 
-    fn arm(&mut self, now: Time, out: &mut Vec<Action>) {
-        out.push(Action::Arm { token: SWEEP, at: now.plus(self.settings.sweep_every()) });
+    fn arm_sweep_timer(&mut self, now: Time, actions: &mut Vec<Action>) {
+        actions.push(Action::Arm { token: SWEEP_TIMER, at: now.plus(self.settings.sweep_every()) });
     }
 
-    fn timer(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.watch(now);
+    fn handle_timer(&mut self, now: Time, actions: &mut Vec<Action>) {
+        self.check_overdue(now);
         self.refresh_warm(now);
-        self.refresh_lanes(now);
+        self.refresh_concurrency(now);
         self.refresh_fleet(now);
-        self.expire(now, out);
-        self.dispatch(now, out);
-        self.lines.retain(|_, l| !l.waiting.is_empty() || now < l.rest_until);
+        self.expire_queued(now, actions);
+        self.dispatch(now, actions);
+        self.key_queues.retain(|_, l| !l.waiting.is_empty() || now < l.blocked_until);
         for i in 0..self.servers.len() {
             if now <= self.servers[i].close_until {
-                self.close_idle(now, i, out);
+                self.close_idle(now, i, actions);
             }
         }
-        self.ask_for_list(now, out);
-        self.arm(now, out);
+        self.ask_for_list(now, actions);
+        self.arm_sweep_timer(now, actions);
     }
 
-    fn ask_for_list(&mut self, now: Time, out: &mut Vec<Action>) {
-        if !self.settings.must_ask || self.ask.subscribed || now < self.ask.next {
+    fn ask_for_list(&mut self, now: Time, actions: &mut Vec<Action>) {
+        if !self.settings.must_ask || self.list_calls.subscribed || now < self.list_calls.next {
             return;
         }
-        out.push(Action::Subscribe);
-        let again = Span::of(self.settings.rules.ask_every.f() * ASK_AGAIN_OF_EVERY);
-        self.ask.next = now.plus(again).plus(self.jitter(ASK_JITTER_OF_EVERY));
+        actions.push(Action::Subscribe);
+        let again = Span::of(self.settings.rules.ask_every.f() * LIST_CALL_RETRY_SHARE);
+        self.list_calls.next = now.plus(again).plus(self.jitter(LIST_CALL_JITTER_SHARE));
     }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -3,9 +3,9 @@
 use super::*;
 
 /// Pace to a young upstream of one's own, as a share of the stated multiple: few proxies own the same one.
-const OWNER_PACE: f64 = 1.0 / 3.0;
+const OWNER_PACE_SHARE: f64 = 1.0 / 3.0;
 /// The pace goes on to rise for so many times the cold spell. Failure: at its end a whole bank came at once.
-const RAMP_OUT: f64 = 2.0;
+const RAMP_EXTENSION: f64 = 2.0;
 
 impl Balancer {
     /// Share of its capacity that a young upstream has for certain; `None` once warm.
@@ -16,17 +16,17 @@
     /// The same line, drawn on for so many times as long.
     pub(super) fn ramp(&self, now: Time, s: &Server, times: f64) -> Option<f64> {
         let rules = &self.settings.rules;
-        let grown = now.since(s.started?).f().max(0.0) / rules.cold.f().max(1.0);
-        (grown < times).then_some(rules.cold_from + (1.0 - rules.cold_from) * grown)
+        let progress = now.since(s.started?).f().max(0.0) / rules.cold.f().max(1.0);
+        (progress < times).then_some(rules.cold_from + (1.0 - rules.cold_from) * progress)
     }
 
-    pub(super) fn cold_allows(&self, now: Time, s: &Server) -> bool {
-        self.earned(now, s).is_none_or(|tokens| tokens >= 1.0)
+    pub(super) fn slow_start_allows(&self, now: Time, s: &Server) -> bool {
+        self.earned_sends(now, s).is_none_or(|tokens| tokens >= 1.0)
     }
 
     /// Sends that a young upstream has earned by now, one at most; `None` once warm.
-    pub(super) fn earned(&self, now: Time, s: &Server) -> Option<f64> {
-        let share = self.ramp(now, s, RAMP_OUT)?;
+    pub(super) fn earned_sends(&self, now: Time, s: &Server) -> Option<f64> {
+        let share = self.ramp(now, s, RAMP_EXTENSION)?;
         let elapsed = now.since(s.refilled).f().max(0.0);
         Some((s.tokens + elapsed * self.warm_rate(s) * share).min(1.0))
     }
@@ -35,19 +35,19 @@
     pub(super) fn warm_rate(&self, s: &Server) -> f64 {
         let f = &self.fleet;
         let like = f.warm_rate.get(s.kind as usize).copied().unwrap_or(0.0);
-        let rate = s.weight * if like > 0.0 { like } else { f.any_rate };
+        let rate = s.weight * if like > 0.0 { like } else { f.overall_warm_rate };
         let multiple = self.settings.rules.fall_multiple.max(1.0);
         // Failure: with every upstream young, or nothing observed yet, none got any work.
-        let least = multiple / f64::from(self.settings.balancers) / f.ts;
-        let rate = if rate > 0.0 { rate } else { least };
+        let min_rate = multiple / f64::from(self.settings.balancers) / f.ts;
+        let rate = if rate > 0.0 { rate } else { min_rate };
         // Failure: a fleet that grew fourfold kept refusing: each young upstream had the pace of an even
         // spread over the bank, but only the proxies whose own it was sent it anything.
-        let owner = if s.reach <= OWN { multiple * OWNER_PACE * self.lanes(s) / f.ts } else { 0.0 };
+        let owner = if s.distance <= OWN_DISTANCE { multiple * OWNER_PACE_SHARE * self.concurrency(s) / f.ts } else { 0.0 };
         rate.max(owner)
     }
 
     pub(super) fn count_send(&mut self, now: Time, server: usize) {
-        let Some(earned) = self.earned(now, &self.servers[server]) else { return };
+        let Some(earned) = self.earned_sends(now, &self.servers[server]) else { return };
         let s = &mut self.servers[server];
         (s.tokens, s.refilled) = (earned - 1.0, now);
     }
@@ -74,7 +74,7 @@
             if s.status != Status::Live {
                 continue;
             }
-            if let Some(earned) = self.earned(now, s) {
+            if let Some(earned) = self.earned_sends(now, s) {
                 let s = &mut self.servers[i];
                 (s.tokens, s.refilled) = (earned, now);
             } else if let Some(w) = weight.get_mut(s.kind as usize) {
@@ -91,7 +91,7 @@
             let seen = if weight > 0.0 && served >= 1.0 { served / window / weight } else { 0.0 };
             *peak = (*peak * (-elapsed / cold).exp()).max(seen);
         };
-        keep(&mut f.any_rate, f.warm_served.iter().sum(), weight.iter().sum());
+        keep(&mut f.overall_warm_rate, f.warm_served.iter().sum(), weight.iter().sum());
         for ((peak, served), weight) in f.warm_rate.iter_mut().zip(&f.warm_served).zip(weight) {
             keep(peak, *served, weight);
         }
--- a/src/services/mod.rs
+++ b/src/services/mod.rs
@@ -206,7 +206,7 @@
         let Some(slot) = self.slots.get_mut(service.0 as usize) else { return };
         let Some(balancer) = &mut slot.balancer else { return };
         let from = out.len();
-        let told = matches!(event, Event::Members { kind: ListKind::Whole | ListKind::Update, .. });
+        let told = matches!(event, Event::Members { kind: ListKind::Full | ListKind::Update, .. });
         match &event {
             Event::Members { kind, .. } => {
                 slot.awake_until = now.plus(slot.close_within);
--- a/src/services/tests.rs
+++ b/src/services/tests.rs
@@ -137,7 +137,7 @@
     let names = names(idle + 1);
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut caller = Caller::new(&names);
-    caller.list(ListKind::Whole, fleet(&names, 3));
+    caller.list(ListKind::Full, fleet(&names, 3));
     caller.pass(Span(1000 * MS));
     caller.fired = 0;
     let busy = ServiceId(0);
@@ -165,7 +165,7 @@
         let names = names(services);
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let mut caller = Caller::new(&names);
-        let told = caller.list(ListKind::Whole, fleet(&names, 3));
+        let told = caller.list(ListKind::Full, fleet(&names, 3));
         assert_eq!((told.members.len(), told.changes.len()), (services, 3 * services));
         // Of the first service, which asks for all, there is a part in any case.
         let told = caller.list(ListKind::Update, vec![entry("svc-1-0", "svc-1", Phase::Draining)]);
@@ -183,7 +183,7 @@
     assert!(asked >= 1, "it is asked for");
     let of_others = caller.actions.iter().filter(|(s, a)| s.0 > 0 && *a == Action::Subscribe);
     assert_eq!(of_others.count(), 0);
-    caller.list(ListKind::Whole, fleet(&["a", "b"], 1));
+    caller.list(ListKind::Full, fleet(&["a", "b"], 1));
     caller.pass(Span(1000 * MS));
     let asked = caller.count(|a| matches!(a, Action::Subscribe));
     caller.fired = 0;
@@ -202,7 +202,7 @@
 fn an_upstream_that_moves_is_gone_where_it_was_and_another_where_it_is() {
     let mut caller = Caller::new(&["a", "b"]);
     let (a, b) = (ServiceId(0), ServiceId(1));
-    caller.list(ListKind::Whole, vec![entry("s", "a", Phase::Serving)]);
+    caller.list(ListKind::Full, vec![entry("s", "a", Phase::Serving)]);
     let first = caller.request(a, 1).expect("sent");
     let told = caller.list(ListKind::Update, vec![entry("s", "b", Phase::Serving)]);
     assert_eq!(told.changes.len(), 2);
@@ -223,8 +223,8 @@
 #[test]
 fn what_a_whole_list_leaves_out_is_gone_in_every_service() {
     let mut caller = Caller::new(&["a", "b"]);
-    caller.list(ListKind::Whole, fleet(&["a", "b"], 2));
-    let told = caller.list(ListKind::Whole, fleet(&["a"], 1));
+    caller.list(ListKind::Full, fleet(&["a", "b"], 2));
+    let told = caller.list(ListKind::Full, fleet(&["a"], 1));
     let gone = told.changes.iter().filter(|c| c.status == Status::Gone).count();
     assert_eq!(gone, 3);
     assert_eq!(caller.request(ServiceId(1), 1), None);
@@ -234,7 +234,7 @@
 #[test]
 fn idle_connections_to_what_leaves_are_closed_in_time_and_then_the_service_rests() {
     let mut caller = Caller::new(&["a", "b"]);
-    caller.list(ListKind::Whole, fleet(&["a", "b"], 1));
+    caller.list(ListKind::Full, fleet(&["a", "b"], 1));
     let server = caller.request(ServiceId(1), 1).expect("sent");
     caller.pass(Span(200 * MS));
     caller.list(ListKind::Update, vec![entry("b-0", "b", Phase::Draining)]);
@@ -255,7 +255,7 @@
 #[test]
 fn a_catalog_takes_the_place_of_another_and_what_stays_goes_on() {
     let mut caller = Caller::new(&["a", "b"]);
-    caller.list(ListKind::Whole, fleet(&["a", "b"], 1));
+    caller.list(ListKind::Full, fleet(&["a", "b"], 1));
     let out = caller.request(ServiceId(1), 1).expect("sent");
     let reloaded = caller.services.reload(catalog(&["c", "a"]), caller.now).expect("it can");
     assert_eq!((reloaded.removed.clone(), reloaded.added), (vec![ServiceId(1)], 1));
@@ -266,10 +266,10 @@
     assert_eq!(found("/c"), Some((ServiceId(2), "c".into())));
     assert_eq!(found("/b"), None);
     // What is out there ends in its time.
-    caller.tell(ServiceId(1), Event::Members { kind: ListKind::Whole, list: &[] });
+    caller.tell(ServiceId(1), Event::Members { kind: ListKind::Full, list: &[] });
     caller.served(ServiceId(1), 1, out);
     assert!(caller.services.slots[1].balancer.is_none(), "and then nothing is kept of it");
-    caller.list(ListKind::Whole, fleet(&["a", "c"], 1));
+    caller.list(ListKind::Full, fleet(&["a", "c"], 1));
     assert!(caller.request(ServiceId(2), 2).is_some());
     assert!(caller.request(ServiceId(0), 3).is_some());
     // Of the same name again it is another service.
@@ -293,7 +293,7 @@
     let catalog = Rc::new(Catalog::single(&facts("automatic")).expect("sound"));
     let mut caller = Caller::new(&["unused"]);
     caller.services = Services::new(catalog, 7, caller.now).expect("sound");
-    caller.list(ListKind::Whole, vec![entry("s", "any", Phase::Serving)]);
+    caller.list(ListKind::Full, vec![entry("s", "any", Phase::Serving)]);
     caller.pass(Span(1000 * MS));
     assert!(caller.fired >= 100, "its timer as ever: {}", caller.fired);
     assert!(caller.request(ServiceId(0), 1).is_some());
@@ -324,7 +324,7 @@
     caller.services.reload(catalog(&["b"]), caller.now).expect("it can");
     // It rests, has never been told a list, and asks for all from now on.
     caller.now = caller.now.plus(Span(10_000 * MS));
-    caller.list(ListKind::Whole, fleet(&["b"], 1));
+    caller.list(ListKind::Full, fleet(&["b"], 1));
     let of_b = caller.actions.iter().filter(|(s, a)| s.0 == 1 && *a == Action::Subscribe);
     assert_eq!(of_b.count(), 0);
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -144,7 +144,7 @@
     }
 
     pub fn list(&mut self, kind: ListKind, list: &[Member]) {
-        if matches!(kind, ListKind::Whole | ListKind::Restored) {
+        if matches!(kind, ListKind::Full | ListKind::Restored) {
             self.members.values_mut().for_each(|m| m.status = Status::Gone);
         }
         if kind != ListKind::Unavailable {
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -161,7 +161,7 @@
     let mut w = World::new(settings());
     w.request(1, 2);
     assert!(w.out(1).is_none() && !w.refused(1));
-    w.list(ListKind::Whole, &[member(0, 0)]);
+    w.list(ListKind::Full, &[member(0, 0)]);
     assert_eq!(w.out(1), Some(ServerId(0)));
 }
 
@@ -349,7 +349,7 @@
     let asked = |w: &World| w.log.iter().filter(|a| **a == Action::Subscribe).count();
     w.pass(Span(2000 * MS));
     assert_eq!(asked(&w), 1);
-    w.list(ListKind::Whole, &[member(0, 0)]);
+    w.list(ListKind::Full, &[member(0, 0)]);
     w.pass(Span(30_000 * MS));
     assert_eq!(asked(&w), 1, "a subscription stands");
     w.list(ListKind::Unavailable, &[]);
@@ -365,7 +365,7 @@
     rare.rules.ask_every = Span(200_000 * MS);
     let mut w = World::new(rare);
     for _ in 0..4 {
-        w.list(ListKind::Whole, &[member(0, 0)]);
+        w.list(ListKind::Full, &[member(0, 0)]);
         w.list(ListKind::Unavailable, &[]);
         let asked = |w: &World| w.log.iter().filter(|a| **a == Action::Subscribe).count();
         let before = asked(&w);
@@ -407,7 +407,7 @@
     let mut w = World::new(settings());
     let young = |i| Member { started: Some(w.now), ..member(i, 0) };
     let list: Vec<_> = (0..4).map(young).collect();
-    w.list(ListKind::Whole, &list);
+    w.list(ListKind::Full, &list);
     let mut served = 0;
     for id in 0..400 {
         w.request(id, 0);
@@ -737,7 +737,7 @@
     let (_, k_after, n_after) = w.balancer.upstream(ServerId(0), Span(200 * MS)).unwrap();
     assert_eq!((k, n), (k_after, n_after), "nothing was learnt of it");
     assert_eq!(w.balancer.pool(w.now), (1, 0), "nor is it avoided");
-    w.balancer.handle(w.now, Event::Whole(RequestId(900)), &mut out);
+    w.balancer.handle(w.now, Event::BodyComplete(RequestId(900)), &mut out);
     assert_eq!(at(&w), 1, "now it has");
     // Whatever becomes of it, it is not sent again: its body is gone.
     out.clear();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -40,11 +40,11 @@
 #[test]
 fn a_keyed_repeat_outside_its_group_is_failed_not_refused() {
     let mut w = World::new(settings());
-    w.list(ListKind::Whole, &[member(0, 0), member(1, 1)]);
+    w.list(ListKind::Full, &[member(0, 0), member(1, 1)]);
     w.request(1, KEYED);
     let first = w.out(1).unwrap();
     let other = member(1 - first.0, 1 - first.0);
-    w.list(ListKind::Whole, &[other]);
+    w.list(ListKind::Full, &[other]);
     w.outcome(1, 0, Outcome::Error);
     assert!(w.failed(1), "no live upstream would drop the repeat");
 }
@@ -155,7 +155,7 @@
     s.rules.drain_close = Span(50 * MS);
     let mut w = World::with_servers(s, 2);
     (0..4).for_each(|id| w.request(id, SAFE));
-    w.list(ListKind::Whole, &[member(1, 1)]);
+    w.list(ListKind::Full, &[member(1, 1)]);
     let closes = |w: &World| {
         w.log.iter().filter(|a| matches!(a, Action::CloseIdle { server: ServerId(0) })).count()
     };
@@ -227,7 +227,7 @@
             }
             Happening::Whole { count } => {
                 let list: Vec<_> = (0..count).map(|i| member(i, i % 2)).collect();
-                w.list(ListKind::Whole, &list);
+                w.list(ListKind::Full, &list);
             }
             Happening::Unavailable => w.list(ListKind::Unavailable, &[]),
             Happening::StrayTimer { token } => {
--- a/tests/services.rs
+++ b/tests/services.rs
@@ -118,7 +118,7 @@
         let name = NAMES[random.gen_range(0..NAMES.len())];
         match random.gen_range(0..100) {
             0..=5 => {
-                let kind = if random.gen_bool(0.2) { ListKind::Restored } else { ListKind::Whole };
+                let kind = if random.gen_bool(0.2) { ListKind::Restored } else { ListKind::Full };
                 let ids: Vec<u32> = (0..8).filter(|_| random.gen_bool(0.8)).collect();
                 Step::List(kind, ids.iter().map(|i| entry(random, *i, true)).collect())
             }
@@ -144,7 +144,7 @@
             }
         }
     };
-    let mut script = vec![Step::List(ListKind::Whole, first)];
+    let mut script = vec![Step::List(ListKind::Full, first)];
     script.extend((0..STEPS).map(|_| step(random)));
     script
 }
@@ -454,7 +454,7 @@
                 });
                 for service in reloaded.removed {
                     assert!(!self.services.serves(service));
-                    self.tell(service, Event::Members { kind: ListKind::Whole, list: &[] });
+                    self.tell(service, Event::Members { kind: ListKind::Full, list: &[] });
                     let waits = |h: &Held| {
                         h.service == service && !h.over && h.attempts.iter().all(|(.., out)| !out)
                     };
@@ -534,7 +534,7 @@
         assert!(self.subscribed > asked, "the list was lost and nobody asks for it");
         let fleet = NAMES.iter().zip(0..);
         let fleet = fleet.map(|(n, i)| entry(20 + i, n, Phase::Serving, "127.0.0.1:9"));
-        self.list(ListKind::Whole, fleet.collect());
+        self.list(ListKind::Full, fleet.collect());
         self.pass(2000);
         let open = self.held.iter().find(|(_, h)| !h.over || !h.closed);
         assert!(open.is_none(), "request {:?} has not ended", open.map(|(id, _)| id));
