--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,39 +1,37 @@
-//! The words that the balancer and its caller share: ids, time, settings, events, actions.
-//! Plain data; every decision is in [`crate::policy`].
-//!
-//! Reading order: time and ids, settings, events, actions.
+//! The interface between the balancer and its caller: time, ids, settings, events and actions, in this order.
+//! Plain data; decisions are made in [`crate::policy`].
 
 /// A point on the caller's clock, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(pub i64);
 
-/// A length of time in microseconds.
+/// A duration in microseconds; may be negative.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub i64);
 
 impl Time {
-    /// The span from `earlier` to here; negative if `earlier` is later.
+    /// The duration from `earlier` to `self`; negative if `earlier` is later. Saturates.
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
-    /// This time moved by a span.
+    /// `self` plus a duration. Saturates.
     pub fn plus(self, span: Span) -> Time {
         Time(self.0.saturating_add(span.0))
     }
 }
 
 impl Span {
-    /// Its length in microseconds, for arithmetic.
+    /// The duration in microseconds as a floating-point number.
     pub fn f(self) -> f64 {
         self.0 as f64
     }
-    /// The span of so many microseconds, cut to whole ones.
+    /// A duration of `us` microseconds, truncated to whole ones.
     pub fn of(us: f64) -> Span {
         Span(us as i64)
     }
 }
 
-/// The caller's handle for a request; never reused while the request or one of its attempts lives.
+/// The caller's handle for a request; not reused while the request or one of its attempts is in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
@@ -41,25 +39,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ServerId(pub u32);
 
-/// What repeating a request can do.
+/// Effect of executing a request more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// May be repeated freely.
+    /// Idempotent: may be executed any number of times.
     Safe,
-    /// Repeats are dropped by the upstreams of one group, for a while.
+    /// The upstreams of one group drop duplicates within a time window.
     Keyed,
-    /// Must never run twice.
+    /// Must never be executed twice.
     Unsafe,
 }
 
-/// Which upstreams drop each other's repeats of a keyed request.
+/// Which upstreams share the deduplication of keyed requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
-    /// All of them.
+    /// All upstreams.
     All,
-    /// Those of one zone.
+    /// The upstreams of one zone.
     Zone,
-    /// Those of one cell.
+    /// The upstreams of one cell.
     Cell,
 }
 
@@ -68,106 +66,107 @@
 pub struct Class {
     /// An answer within this time earns the full worth.
     pub aim: Span,
-    /// The longest a client waits.
+    /// The longest time that a client waits.
     pub deadline: Span,
     /// Worth of one request.
     pub worth: f64,
-    /// Share of the worth for an answer after the aim.
+    /// Share of the worth earned by an answer after the aim.
     pub late_worth: f64,
-    /// What a repeat does.
+    /// Effect of executing a request of this class more than once.
     pub effect: Effect,
-    /// Who drops repeats of a keyed request.
+    /// Which upstreams share the deduplication of its keyed requests.
     pub group: Group,
-    /// For how long they do, from the send of the first attempt that may have run.
+    /// Length of the deduplication window, from the send of the first attempt that may have run.
     pub window: Span,
     /// The aim grows by this multiple of a request's own work, up to the deadline.
     pub aim_stretch: f64,
-    /// The answer is a stream: [`Event::Started`] tells that it has begun.
+    /// Answers are streams: [`Event::Started`] reports that one has begun.
     pub streaming: bool,
-    /// Requests of such classes that share a key take turns, in the order in which they came.
+    /// Requests of such classes are serialised by key, in order of arrival.
     pub in_order: bool,
-    /// The only zones it may be sent to; `None` for any.
+    /// The zones that its requests may be sent to; `None` for all.
     pub zones: Option<Vec<u32>>,
-    /// The only machine kinds it may be sent to; `None` for any.
+    /// The machine kinds that its requests may be sent to; `None` for all.
     pub kinds: Option<Vec<u32>>,
 }
 
 /// A tenant and its share of the service.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second inside its share, over all balancers.
+    /// Requests per second within its share, over all balancers.
     pub quota_rps: f64,
-    /// Its part of the service.
+    /// Its share of the service.
     pub share: f64,
 }
 
-/// What the site allows.
+/// Limits set by the site.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: usize,
-    /// Two attempts of a request may be out at once.
+    /// Two attempts of a request may be in flight at once.
     pub second_copies: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
     /// Upstreams may be probed.
     pub probes: bool,
-    /// The simulator's clients are given retry advice; over HTTP a refusal says so in any case.
+    /// Whether the simulator's clients are given a retry delay; refusals over HTTP always state one.
     pub retry_after: bool,
-    /// Longest advice that a client heeds.
+    /// Longest retry delay that a client follows.
     pub max_retry_after: Span,
-    /// A connection not made within this counts as failed.
+    /// Time after which a connection that is not established counts as failed.
     pub connect_timeout: Span,
-    /// Idle connections close after this.
+    /// Time after which idle connections are closed.
     pub keepalive: Span,
-    /// Attempts that one connection carries at once.
+    /// Maximum number of concurrent attempts on one connection.
     pub streams_per_conn: u32,
 }
 
-/// Figures of the rules on drains, cold upstreams and the list.
+/// Parameters of the rules on drains, cold upstreams and the list.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// An upstream starts at this share of its capacity or more.
+    /// Least share of its capacity that an upstream has when it starts.
     pub cold_from: f64,
-    /// And is warm no later than this.
+    /// Time after its start by which an upstream has its full capacity.
     pub cold: Span,
-    /// It falls over when sent more than this many times its present capacity
+    /// An upstream fails when it is sent more than this many times its present capacity,
     pub fall_multiple: f64,
-    /// for this long.
+    /// for at least this long.
     pub tip_after: Span,
-    /// How long after news of a drain a send may still go out.
+    /// How long after notification of a drain requests may still be sent to the upstream.
     pub drain_grace: Span,
-    /// A final answer so long after the client's deadline still counts.
+    /// Tolerance after the client's deadline within which a final answer still counts.
     pub answer_slack: Span,
-    /// Where the list must be asked: the longest silence before news counts as told.
+    /// Where the list is sent only on request: the longest time without a list call until the proxy is deemed notified
+    /// of an update.
     pub ask_every: Span,
-    /// Idle connections to a draining upstream must be closed within this; zero where no rule says so.
+    /// Time within which idle connections to a draining upstream must be closed; zero for no such rule.
     pub drain_close: Span,
-    /// How long a key rests after an attempt of an ordered class that may still be running.
+    /// How long a key is blocked after an attempt of an ordered class that may still be running.
     pub turn_gap: Span,
 }
 
-/// What things cost, each per first try, in shares of all worth.
+/// Costs per first attempt, as shares of the total worth.
 #[derive(Clone, Debug, Default)]
 pub struct Prices {
     /// An attempt that crosses zones.
     pub cross_zone: f64,
-    /// Upstream work that served no answer, per work offered.
+    /// Upstream work that produced no served answer, relative to the work offered.
     pub waste: f64,
     /// A new connection.
     pub handshake: f64,
     /// A probe.
     pub probe: f64,
-    /// Worth that ends unserved after its aim has passed.
+    /// Worth of requests that end unserved after their aim has passed.
     pub late_fail: f64,
 }
 
-/// Weights of the parts of the service that the site judges by.
+/// Weights of the measures by which the site scores the service.
 #[derive(Clone, Debug, Default)]
 pub struct ScoringMix {
-    /// The whole run.
+    /// The complete run.
     pub whole: f64,
-    /// Its worst stretch.
+    /// The worst time window of the run.
     pub worst_window: f64,
     /// The worst-served class.
     pub worst_class: f64,
@@ -175,57 +174,57 @@
     pub worst_tenant: f64,
 }
 
-/// Where load reports come from.
+/// Source of the upstreams' load reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Reports {
-    /// Nowhere.
+    /// No load reports.
     #[default]
     None,
-    /// With answers and probes.
+    /// Answers and probes.
     Answers,
-    /// With probes only.
+    /// Probes only.
     Probes,
 }
 
-/// What the balancer is told at its start.
+/// Configuration of a balancer, fixed at its start.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Request classes, by index.
     pub classes: Vec<Class>,
     /// Tenants, by index; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Balancers in the bank, this one included.
+    /// Number of balancers in the fleet, including this one.
     pub balancers: u32,
     /// This balancer's number among them, from 0.
     pub position: u32,
-    /// Zones of the site.
+    /// Number of zones of the site.
     pub zones: u32,
     /// Zone of this balancer.
     pub zone: u32,
-    /// How often events are delivered at most.
+    /// Least interval between deliveries of events.
     pub tick: Span,
-    /// The list of upstreams comes only when asked for.
+    /// The list of upstreams is sent only on request ([`Action::Subscribe`]).
     pub must_ask: bool,
-    /// What the site allows.
+    /// Limits set by the site.
     pub limits: Limits,
-    /// Figures of the rules.
+    /// Parameters of the rules.
     pub rules: Rules,
-    /// What things cost.
+    /// Costs of the service.
     pub prices: Prices,
-    /// How the service is judged.
+    /// How the service is scored.
     pub mix: ScoringMix,
-    /// Worth of a request beyond its tenant's share, over its class's.
+    /// Worth of a request beyond its tenant's share, relative to that of its class.
     pub over_share_worth: f64,
-    /// Worth counts by unit of work, not by request.
+    /// Worth is counted per unit of work instead of per request.
     pub by_work: bool,
-    /// Clients mark their repeats.
+    /// Clients mark requests that they send again.
     pub marks_retry: bool,
-    /// Where load reports come from.
+    /// Source of load reports.
     pub reports: Reports,
 }
 
 impl Class {
-    /// A class that may be repeated freely, of worth 1, with this aim and deadline.
+    /// An idempotent class of worth 1 with this aim and deadline.
     pub fn safe(aim: Span, deadline: Span) -> Self {
         Self {
             aim,
@@ -245,8 +244,8 @@
 }
 
 impl Settings {
-    /// One proxy with these classes, one zone, three attempts a request, and no further rules or
-    /// prices: a start to fill in from.
+    /// Settings to start from: one proxy with these classes, one zone, three attempts per request, no further rules and
+    /// no prices.
     pub fn basic(classes: Vec<Class>) -> Self {
         Self {
             classes,
@@ -290,7 +289,10 @@
 }
 
 impl Settings {
-    /// The same settings, made safe; an error where no safe reading exists.
+    /// Validates the settings and adjusts values that are out of range to safe ones.
+    ///
+    /// # Errors
+    /// No class, or a class with an aim or deadline that is not above zero.
     pub fn checked(mut self) -> Result<Self, SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -298,7 +300,7 @@
         if let Some(i) = self.classes.iter().position(|c| c.aim.0 <= 0 || c.deadline.0 <= 0) {
             return Err(SettingsError::BadAim(i));
         }
-        // Safe defaults: a zero tick or cold share would stop a clock or a cold server for ever.
+        // A tick of zero would stall the clock, and a cold share of zero would never send to a cold upstream.
         self.tick.0 = self.tick.0.max(100);
         self.balancers = self.balancers.max(1);
         self.limits.max_attempts = self.limits.max_attempts.max(1);
@@ -309,13 +311,13 @@
     }
 }
 
-/// Why a balancer could not be made.
+/// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// No request could be judged.
+    /// There is no class, so no request can be classified.
     #[error("settings name no request class")]
     NoClasses,
-    /// An aim or deadline that no answer can meet.
+    /// The class at this index has an aim or deadline that no answer can meet.
     #[error("class {0} has an aim or deadline that is not above zero")]
     BadAim(usize),
 }
@@ -323,11 +325,11 @@
 /// State of an upstream in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Takes requests.
+    /// Accepts requests.
     Live,
-    /// Finishes what it has; gets nothing new.
+    /// Finishes its requests in progress; gets no new ones.
     Draining,
-    /// Withdrawn.
+    /// No longer on the list.
     Gone,
 }
 
@@ -348,12 +350,12 @@
     pub status: Status,
     /// Relative size; 1 where unknown.
     pub weight: f64,
-    /// When it last started, if not long ago.
+    /// When it last started; `None` if long ago.
     pub started: Option<Time>,
 }
 
 impl Member {
-    /// A live upstream of zone, kind and cell 0 and of size 1, started long ago.
+    /// A live upstream of zone, kind and cell 0 and of weight 1, started long ago.
     pub fn live(id: ServerId) -> Self {
         Self {
             id,
@@ -368,14 +370,14 @@
     }
 }
 
-/// What kind of list event came.
+/// Kind of a list event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Changed entries only.
     Update,
-    /// The whole list.
+    /// The full list.
     Full,
-    /// The whole list as last held, perhaps out of date.
+    /// The last stored full list, which may be out of date.
     Restored,
     /// A list call failed or the subscription broke.
     Unavailable,
@@ -392,20 +394,20 @@
     pub tenant: usize,
     /// Hash of its routing key, if it has one.
     pub key: Option<u64>,
-    /// When the client gives up.
+    /// When the client stops waiting.
     pub drop_dead: Time,
-    /// Work to expect on a yardstick core, if anyone guessed.
+    /// Estimated work in time on a reference core, if known.
     pub cost_guess: Option<Span>,
-    /// A client's repeat, where clients mark them.
+    /// Sent again by its client, where clients mark this.
     pub resent: bool,
-    /// It changes something.
+    /// It modifies data.
     pub write: bool,
-    /// Its body is still coming: until [`Event::BodyComplete`] no upstream starts on it.
+    /// Its body is incomplete: no upstream starts work before [`Event::BodyComplete`].
     pub coming: bool,
 }
 
 impl Request {
-    /// A request of this class without tenant, key or hint.
+    /// A request of this class for tenant 0, without key or estimate, with a complete body.
     pub fn new(id: RequestId, class: usize, drop_dead: Time) -> Self {
         Self {
             id,
@@ -428,50 +430,50 @@
     Ok,
     /// Answered with an error; may have run.
     Error,
-    /// Turned away unseen.
+    /// Rejected by the upstream without execution.
     Full,
-    /// No answer in time; may have run.
+    /// No answer within the time-out; may have run.
     Timeout,
-    /// No connection; never ran.
+    /// No connection was established; never ran.
     ConnectFailed,
     /// The connection broke; may have run.
     Reset,
-    /// Withdrawn by us; may have run.
+    /// Cancelled by the proxy; may have run.
     Cancelled,
-    /// Never issued.
+    /// Not sent; never ran.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether it proves that the attempt never ran.
+    /// Whether the outcome guarantees that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// The end of an attempt as the caller saw it.
+/// The end of an attempt as observed by the caller.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer {
     /// The request.
     pub request: RequestId,
-    /// Which attempt, from 0.
+    /// Index of the attempt, from 0.
     pub attempt: usize,
     /// The upstream it went to.
     pub server: ServerId,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// How long it took.
+    /// Time from send to outcome.
     pub latency: Span,
-    /// The request is over.
+    /// The request has ended; no further attempt may follow.
     pub last: bool,
-    /// Its body went out with this attempt and is not kept: it can't be sent again.
+    /// The request's body was consumed by this attempt and is not stored, so the request may no longer be resent.
     pub spent: bool,
-    /// What the upstream reported of itself.
+    /// The upstream's load report.
     pub report: Report,
 }
 
 impl Answer {
-    /// An outcome without a load report.
+    /// An outcome without a load report, of a request that may be resent.
     pub fn new(
         request: RequestId,
         attempt: usize,
@@ -485,16 +487,16 @@
     }
 }
 
-/// An upstream's load report; what it does not tell is `None`.
+/// An upstream's load report; values that it does not contain are `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Report {
     /// Requests in progress.
     pub inflight: Option<f64>,
-    /// Requests waiting.
+    /// Requests waiting in the upstream's queue.
     pub queue: Option<f64>,
-    /// Share of its cores busy.
+    /// Share of its cores that are busy.
     pub util: Option<f64>,
-    /// Recent service time without waiting.
+    /// Recent service time without queueing.
     pub service: Option<Span>,
     /// Requests served per second.
     pub qps: Option<f64>,
@@ -502,25 +504,25 @@
     pub eps: Option<f64>,
 }
 
-/// What has happened; told in the order it came.
+/// An event; the caller delivers events in order of occurrence.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
     /// The list of upstreams, or a change to it.
     Members {
-        /// What kind of list event.
+        /// Kind of the list event.
         kind: ListKind,
         /// Its entries.
         list: &'a [Member],
     },
-    /// A client's request has arrived: one final answer is owed.
+    /// A client's request has arrived and must get one final answer.
     Request(Request),
-    /// The body of a request that was still coming is whole.
+    /// The body of a request that was incomplete on arrival is complete.
     BodyComplete(RequestId),
     /// An attempt has ended.
     Answered(Answer),
-    /// The answer has begun to stream: the attempt is the client's now.
+    /// The answer has begun to stream to the client; no further attempt may follow.
     Started(RequestId),
-    /// The client no longer waits; nothing is owed.
+    /// The client no longer waits; no answer is due.
     Left(RequestId),
     /// A timer is due.
     Timer(u64),
@@ -528,16 +530,16 @@
     Probed {
         /// The upstream.
         server: ServerId,
-        /// It answered well.
+        /// Whether the probe succeeded.
         ok: bool,
-        /// How long it took.
+        /// Time from probe to answer.
         latency: Span,
-        /// What the upstream reported of itself.
+        /// The upstream's load report.
         report: Report,
     },
 }
 
-/// What the caller must do.
+/// An action that the caller must carry out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
     /// Send the request to an upstream as its next attempt.
@@ -546,19 +548,19 @@
         request: RequestId,
         /// The upstream.
         server: ServerId,
-        /// Time-out of the attempt.
+        /// Time-out of the attempt, from its send.
         timeout: Span,
-        /// From then on it must not begin any more, however long its connection took.
+        /// Time at and after which the attempt must not begin, even if its connection took long to establish.
         before: Time,
     },
-    /// End it unserved; it is harmless to come again.
+    /// End the request unserved; its client may safely send it again.
     Refuse {
         /// The request.
         request: RequestId,
-        /// Advice on when; zero for none.
+        /// Retry delay for the client; zero for none.
         retry_after: Span,
     },
-    /// End it unserved, with no promise.
+    /// End the request unserved; it may have run, and may not be safe to send again.
     Fail {
         /// The request.
         request: RequestId,
@@ -567,17 +569,17 @@
     Cancel {
         /// The request.
         request: RequestId,
-        /// Which attempt.
+        /// Index of the attempt, from 0.
         attempt: usize,
     },
-    /// Tell [`Event::Timer`] at or after this time.
+    /// Deliver [`Event::Timer`] at or after a given time.
     Arm {
-        /// To be returned.
+        /// The value to deliver with the event.
         token: u64,
-        /// When.
+        /// The time at which the timer is due.
         at: Time,
     },
-    /// Examine an upstream.
+    /// Probe an upstream.
     Probe {
         /// The upstream.
         server: ServerId,
@@ -587,6 +589,6 @@
         /// The upstream.
         server: ServerId,
     },
-    /// Open the standing subscription to the list.
+    /// Open a subscription to the list of upstreams.
     Subscribe,
 }
--- a/src/invariants/permit.rs
+++ b/src/invariants/permit.rs
@@ -1,68 +1,69 @@
-//! Whether a request may be taken, sent or sent again, and whether a client's connection may be closed.
+//! Checks whether a request may be accepted, sent or sent again, and whether a client's connection may be closed.
 
 use std::time::Duration;
 
 use crate::invariants::violations::Rule;
 
-/// An attempt may begin this long after its client closed its connection (STANDING).
+/// An attempt may begin at most this long after its client closed the connection (STANDING).
 pub const AFTER_CLOSE: Duration = Duration::from_millis(100);
-/// The deadline told to an upstream may exceed what its client has left by this much (STANDING).
+/// The deadline sent to an upstream may exceed the client's remaining time by at most this much (STANDING).
 pub const DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// The same before the first byte is written: the rest is for a hold between the check and the write.
+/// The same limit for the check before the first byte is written; the rest allows for a process stall between check
+/// and write.
 const DEADLINE_SLACK_BEFORE: Duration = Duration::from_millis(50);
-/// A process may be held up for so long between reading its clock and writing (STANDING).
+/// Maximum process stall between reading the clock and writing (STANDING).
 const MAX_STALL: Duration = Duration::from_millis(150);
 
 /// Why an action is not permitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Denial {
-    /// Nobody waits for the answer any more.
+    /// The client no longer waits for the answer.
     #[error("its client has closed the connection")]
     ClientClosed,
-    /// Its one final answer was given.
-    #[error("the request has its answer")]
+    /// The request has received its final answer.
+    #[error("the request has already been answered")]
     Answered,
-    /// It may not begin that late.
-    #[error("the time in which the attempt may begin has passed")]
+    /// The latest time at which the attempt may begin has passed.
+    #[error("the latest time at which the attempt may begin has passed")]
     WindowPassed,
-    /// Nothing new goes there.
-    #[error("the upstream drains or is gone")]
+    /// The upstream is draining or no longer on the list, and gets no new requests.
+    #[error("the upstream is draining or no longer on the list")]
     UpstreamClosed,
-    /// Another upstream may listen where it was.
-    #[error("the upstream has moved")]
+    /// The upstream has a new address; another upstream may listen on the old one.
+    #[error("the upstream has a new address")]
     UpstreamMoved,
-    /// The upstream would be told more time than the client has left.
-    #[error("the deadline in the request is no longer what is left")]
+    /// The deadline in the request exceeds the client's remaining time by more than the slack.
+    #[error("the deadline in the request exceeds the client's remaining time")]
     DeadlineStale,
-    /// A request on the connection has been read and not answered.
-    #[error("a request on it is not answered")]
+    /// A request on the connection has been read, in part or completely, and not answered.
+    #[error("a request on the connection is unanswered")]
     Unanswered,
-    /// Bytes on the connection have come and were not read.
-    #[error("bytes on it are not read")]
+    /// Bytes have arrived on the connection and have not been read.
+    #[error("the connection has unread bytes")]
     Unread,
 }
 
-/// What holds when the first byte of an attempt is about to be handed to the kernel.
+/// Facts just before the first byte of an attempt is written to the socket.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SendFacts {
-    /// The client has closed its connection, by the kernel's word.
+    /// The client has closed its connection, as reported by the kernel.
     pub client_closed: bool,
-    /// The request has its final answer.
+    /// The request has received its final answer.
     pub answered: bool,
-    /// The last moment at which the attempt may begin is over.
+    /// The latest time at which the attempt may begin has passed.
     pub window_passed: bool,
-    /// The upstream drains or is gone.
+    /// The upstream is draining or no longer on the list.
     pub upstream_closed: bool,
-    /// The connection leads to where the upstream no longer is.
+    /// The connection leads to a former address of the upstream.
     pub upstream_moved: bool,
-    /// By how much the deadline in the request exceeds what the client has left.
+    /// Excess of the deadline in the request over the client's remaining time.
     pub deadline_excess: Duration,
 }
 
-/// Whether an attempt, first or further, may begin.
+/// Checks whether an attempt, the first or a further one, may begin.
 ///
 /// # Errors
-/// The first rule that it would break.
+/// The first rule that the attempt would violate.
 pub fn send(facts: &SendFacts) -> Result<(), Denial> {
     let denials = [
         (facts.client_closed, Denial::ClientClosed),
@@ -75,29 +76,29 @@
     first_of(&denials)
 }
 
-/// Whether a request that has been read may be taken.
+/// Checks whether a request that has been read may be accepted.
 ///
 /// # Errors
-/// Its client has gone.
+/// [`Denial::ClientClosed`] if its client has closed the connection.
 pub fn start(client_closed: bool) -> Result<(), Denial> {
     first_of(&[(client_closed, Denial::ClientClosed)])
 }
 
-/// What holds when a client's connection is about to be closed from this side.
+/// Facts just before the proxy closes a client's connection.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CloseFacts {
     /// The client has closed its own end.
     pub client_closed: bool,
-    /// A request has been read, in part or whole, and not answered.
+    /// A request has been read, in part or completely, and not answered.
     pub unanswered: bool,
-    /// Bytes wait to be read.
+    /// Bytes have arrived and have not been read.
     pub unread: bool,
 }
 
-/// Whether a client's connection may be closed.
+/// Checks whether a client's connection may be closed.
 ///
 /// # Errors
-/// What is owed on it.
+/// An unanswered request or unread bytes, unless the client has closed its end.
 pub fn close(facts: &CloseFacts) -> Result<(), Denial> {
     if facts.client_closed {
         return Ok(());
@@ -112,24 +113,24 @@
     }
 }
 
-/// What holds right after the first byte of an attempt was handed to the kernel.
+/// Facts right after the first byte of an attempt was written to the socket.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SentFacts {
-    /// Whether [`send`] was asked before the write.
+    /// Whether [`send`] was checked before the write.
     pub guarded: bool,
-    /// Since the client was last known to be there.
+    /// Time since the client's connection was last known to be open.
     pub since_check: Duration,
     /// The client has closed its connection.
     pub client_closed: bool,
-    /// The upstream drains or is gone.
+    /// The upstream is draining or no longer on the list.
     pub upstream_closed: bool,
-    /// How long ago the last moment was at which the attempt may begin.
+    /// Time since the latest time at which the attempt may begin; zero if it has not passed.
     pub past_window: Duration,
-    /// By how much the deadline in the request exceeds what the client has left.
+    /// Excess of the deadline in the request over the client's remaining time.
     pub deadline_excess: Duration,
 }
 
-/// The rules that an attempt has broken.
+/// The rules that an attempt has violated.
 pub fn broken(facts: &SentFacts) -> impl Iterator<Item = Rule> {
     let late = facts.client_closed && facts.since_check > AFTER_CLOSE;
     let rules = [
--- a/src/invariants/violations.rs
+++ b/src/invariants/violations.rs
@@ -1,28 +1,28 @@
-//! Counts of broken rules, for operators and tests: each should stay 0.
+//! Counters of rule violations, for operators and tests. All should stay 0.
 
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 use prometheus_client::registry::Registry;
 
-/// A rule of the protocol that the proxy itself can tell to be broken.
+/// A rule whose violation the proxy itself can detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// An attempt began over 0.1 s after its client had closed.
+    /// An attempt began more than 0.1 s after its client had closed the connection.
     AttemptAfterClose,
-    /// An attempt began at an upstream that drains or is gone.
+    /// An attempt began at an upstream that is draining or no longer on the list.
     AttemptAtClosedUpstream,
-    /// An attempt began after the last moment at which it may.
+    /// An attempt began after the latest time at which it may.
     AttemptAfterWindow,
-    /// An upstream was told more time than its client had left.
+    /// The deadline sent to an upstream exceeded the client's remaining time.
     DeadlineTooLong,
-    /// An attempt was written that no guard had permitted.
+    /// An attempt was written without a permit check.
     UnguardedAttempt,
-    /// A client's connection ended here with a request on it unanswered.
+    /// The proxy closed a client's connection with an unanswered request on it.
     ClosedUnanswered,
 }
 
 impl Rule {
-    /// All rules.
+    /// Every rule, in order of declaration.
     pub const ALL: [Rule; 6] = [
         Rule::AttemptAfterClose,
         Rule::AttemptAtClosedUpstream,
@@ -32,7 +32,7 @@
         Rule::ClosedUnanswered,
     ];
 
-    /// Its label in figures and logs.
+    /// Its label in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Rule::AttemptAfterClose => "attempt_after_close",
@@ -45,12 +45,12 @@
     }
 }
 
-/// How often each rule was broken since the process began.
+/// Number of violations of each rule since the process started.
 #[derive(Clone, Debug, Default)]
 pub struct Violations(Family<Vec<(String, String)>, Counter>);
 
 impl Violations {
-    /// All at 0, and told under `violations_total` by this registry.
+    /// Creates all counters at 0 and registers them as `violations_total`.
     pub fn registered(registry: &mut Registry) -> Self {
         let violations = Self::default();
         for rule in Rule::ALL {
@@ -65,13 +65,13 @@
         self.0.get_or_create(&labels).clone()
     }
 
-    /// This rule was broken for this request, by the id that its client gave it.
+    /// Logs and counts a violation; `request` is the id that the client gave the request.
     pub fn count(&self, rule: Rule, request: Option<&str>) {
         tracing::error!(request, rule = rule.name(), "violation");
         self.counter(rule).inc();
     }
 
-    /// How often this rule was broken.
+    /// Number of violations of this rule.
     pub fn of(&self, rule: Rule) -> u64 {
         self.counter(rule).get()
     }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,14 +1,15 @@
-//! Admission: a request is taken, or refused once the load reaches what the upstreams can bear.
+//! Admission control: requests are refused once the load reaches the capacity of the upstreams.
 
 use super::*;
 
-/// Share of the aim that queue and service may take to be admitted: the rest is for the spread of service.
+/// Share of the aim that mean queueing and service time may take; the rest allows for variance in service
+/// time.
 const WAIT_SHARE_OF_AIM: f64 = 0.7;
-/// Part of the bearable wait that the class of least worth for its work may use.
+/// Share of the maximum wait that is open to the class with the least worth per unit of work.
 const MIN_WAIT_SHARE: f64 = 0.2;
 
 impl Balancer {
-    /// A client request has arrived; it is sent, held or refused.
+    /// Sends, queues or refuses a request that has arrived.
     pub(super) fn handle_request(&mut self, now: Time, r: Request, actions: &mut Vec<Action>) {
         let Some(class) = self.settings.classes.get(r.class) else {
             actions.push(Action::Refuse { request: r.id, retry_after: Span(0) });
@@ -17,11 +18,11 @@
         if self.requests.contains_key(&r.id) {
             return;
         }
-        // A held request is worth holding only while its aim can be met, also where a late answer keeps some
-        // worth: else, in lasting overload, the whole queue is served late.
+        // A request stays queued only while its aim can be met, even where a late answer has some worth:
+        // otherwise every queued request is served late under sustained overload.
         let aim_at = r.drop_dead.min(now.plus(class.aim));
         let worth_until = if class.late_worth > 0.0 { r.drop_dead } else { aim_at };
-        // Two sweeps early: a refusal must come while it is still harmless.
+        // Two sweeps early, so that the refusal is sent before the aim has passed.
         let queue_until = aim_at.plus(Span(-2 * self.settings.sweep_every().0));
         let order_key = r.key.filter(|_| class.in_order);
         let entry = RequestState::new(&r, worth_until, queue_until, order_key);
@@ -29,7 +30,7 @@
         self.requests.insert(r.id, entry);
         let in_share = self.in_share(now, r.tenant);
         let starts = now.plus(Span::of(ahead as f64 * self.fleet.mean[r.class]));
-        // What can be sent at once needs no time to be held.
+        // A request that can be sent at once needs no queueing time.
         let latest = if ahead > 0 { queue_until } else { aim_at };
         if !self.admits(r.class, in_share) || starts >= latest {
             self.refuse(r.id, actions);
@@ -43,21 +44,26 @@
         self.dispatch(now, actions);
     }
 
-    /// The paper's check: queued plus in-flight stay under the sum of N_i. T_QoS is one for all, the wait
-    /// that even the tightest class can bear, or long aims would fill the queue and starve short ones;
-    /// classes worth less for their work get a smaller part of it.
+    /// The paper's admission check: queued plus in-flight requests stay below the sum of N_i. All classes
+    /// share one T_QoS, derived from the maximum wait of the class with the tightest aim; otherwise classes
+    /// with long aims would fill the queue and starve those with short ones. Classes with less worth per unit
+    /// of work get a smaller share of the maximum wait, and requests beyond their tenant's share get none of
+    /// it.
     pub(super) fn admits(&self, class: usize, in_share: bool) -> bool {
-        // Failure: a tenant that sent three times its share took the others' part of a full fleet.
+        // Failure: on a saturated fleet, a tenant that sent three times its share displaced other tenants'
+        // requests.
         let wait_share = if in_share { self.fleet.wait_share[class] } else { 0.0 };
         let partition = &self.partitions[self.partition_of[class]];
         let n = partition.n_per_time * (self.fleet.ts + self.fleet.max_wait * wait_share);
-        // With no list yet there is no N to sum: hold until an upstream shows or time is up.
+        // Without live upstreams N is 0: requests are queued until one appears or their time limit passes.
         n == 0.0 || ((partition.queued + partition.in_flight) as f64) < self.share(partition, n, n).max(1.0)
     }
 
-    /// This proxy's share: its part of `even`, or all that others leave of `n`, as reports tell of them.
-    /// Failure: 100 proxies over 60 upstreams refused half of what came with one request out, beside 20 idle.
-    /// And room for chance: the binomial deviation of its part of what is free (failure: 300 refused 0.14).
+    /// This proxy's share of slots: its share of `even` plus an allowance for random variation, or, if
+    /// greater, what other proxies leave free of `n` according to load reports.
+    /// Failure: 100 proxies over 60 upstreams, each with one request in flight, refused half of the requests
+    /// while 20 upstreams were idle. Failure: without the allowance, the binomial standard deviation of its
+    /// share of the free slots, 300 proxies refused 0.14 of the requests.
     pub(super) fn share(&self, partition: &CapacityPartition, even: f64, n: f64) -> f64 {
         let (p, (free, report_weight)) = (self.proxy_share(), self.fleet.free);
         let chance = (n * free / report_weight.max(1.0) * p * (1.0 - p)).sqrt();
@@ -80,7 +86,7 @@
     }
 
     pub(super) fn refuse(&mut self, request: RequestId, actions: &mut Vec<Action>) {
-        // By then all that is queued now has ended: who comes sooner stands behind the same queue.
+        // The current queue will have drained by then; an earlier retry would meet the same queue.
         let most = self.settings.limits.max_retry_after;
         let retry_after = Span::of(self.fleet.ts + self.fleet.max_wait).min(most);
         actions.push(Action::Refuse { request, retry_after });
--- a/src/policy/breaker.rs
+++ b/src/policy/breaker.rs
@@ -1,8 +1,8 @@
-//! Circuit breakers: how long an upstream rests after a fault.
+//! Circuit breakers: how long an upstream is paused after a fault.
 
 use super::*;
 
-/// A circuit breaker: shut after a fault, twice as long after each further one in a row.
+/// A circuit breaker that pauses an upstream after a fault; the pause doubles with each consecutive fault.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Breaker {
     pub(super) until: Time,
@@ -16,11 +16,14 @@
 }
 
 impl Breaker {
-    /// Failure: the upstreams of a lost zone, long still on the list, were tried again every few milliseconds
-    /// by every proxy, and most attempts of the bank ended there.
+    /// Starts a pause of `pause` microseconds, doubled for each earlier consecutive fault, at most
+    /// `doublings` times.
+    ///
+    /// Failure: without doubling, every proxy retried the upstreams of a lost zone, which stayed on the list
+    /// for long, every few milliseconds, and most of the fleet's attempts went to them.
     pub(super) fn trip(&mut self, now: Time, pause: f64, doublings: u32) {
         if now < self.until {
-            return; // Sent before the pause began: the same trouble, already counted.
+            return; // Sent before the pause began: the same fault, already counted.
         }
         self.until = now.plus(Span::of(pause * f64::from(1 << self.faults)));
         self.faults = (self.faults + 1).min(doublings);
--- a/src/policy/choice.rs
+++ b/src/policy/choice.rs
@@ -1,8 +1,9 @@
-//! The queue, and the choice of the upstream for the request at its head.
+//! The request queue, and the selection of an upstream for the request at its head.
 
 use super::*;
 
-/// Further attempts for what is late, per first attempt: more is a storm on a fleet that is slow.
+/// Second copies of overdue requests allowed per first attempt; more would cause a retry storm on a slow
+/// fleet.
 const SECOND_COPIES_PER_REQUEST: f64 = 0.3;
 
 impl Balancer {
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Takes or frees slots of an upstream, in every room that it belongs to.
+    /// Takes (positive) or frees (negative) slots of an upstream, in every partition that it belongs to.
     pub(super) fn count_in_flight(&mut self, server: usize, change: i32) {
         let s = &mut self.servers[server];
         s.in_flight = s.in_flight.saturating_add_signed(change);
@@ -39,21 +40,23 @@
         }
     }
 
-    /// An ordered request goes to the back of its key's line.
+    /// Appends a request of an ordered class to the queue of its key.
     pub(super) fn join_key_queue(&mut self, now: Time, id: RequestId) {
         let Some(key) = self.requests.get(&id).and_then(|e| e.order_key) else { return };
         let new = || KeyQueue { waiting: VecDeque::new(), blocked_until: now };
         self.key_queues.entry(key).or_insert_with(new).waiting.push_back(id);
     }
 
-    /// Whether it is at the head of its key's line and the key has rested; always, once it was sent.
+    /// Whether the request is at the head of its key's queue and the key is not blocked. Always true for
+    /// further attempts.
     pub(super) fn is_next_for_key(&self, now: Time, id: RequestId, e: &RequestState) -> bool {
         let Some(key_queue) = e.order_key.and_then(|k| self.key_queues.get(&k)) else { return true };
         !e.attempts.is_empty() || (key_queue.waiting.front() == Some(&id) && now >= key_queue.blocked_until)
     }
 
-    /// First come, first served, while some upstream has a free slot. One that waits for its key's turn, or
-    /// finds no slot among the upstreams it is bound to, holds up only its like.
+    /// Sends queued requests in FIFO order while some upstream has a free slot. A request that waits for an
+    /// earlier one with its key blocks only that key; one whose class is bound to upstreams without a free
+    /// slot blocks only classes with the same binding.
     pub(super) fn dispatch(&mut self, now: Time, actions: &mut Vec<Action>) {
         let mut i = 0;
         let mut shut = vec![false; self.partitions.len()];
@@ -74,7 +77,8 @@
                 self.send(now, id, server, actions);
                 continue;
             }
-            // Nothing is free. A repeat may merely be bound to other upstreams: look behind it.
+            // No slot is free. A further attempt may be limited to fewer upstreams than the partition has, so
+            // requests behind it are still considered.
             shut[r] |= fresh;
             if shut.iter().all(|s| *s) {
                 break;
@@ -83,15 +87,16 @@
         }
     }
 
-    /// The first upstream in the order of cost that has a free slot. One that already failed this request
-    /// comes last. Lanes on trial are filled once the ordinary slots are all taken.
+    /// The upstream of least cost that has a free slot. Upstreams with an earlier attempt of this request
+    /// come last. Slots on trial are used only once all regular slots are taken.
     pub(super) fn pick(&self, now: Time, id: RequestId, full: bool) -> Option<usize> {
         let e = self.requests.get(&id)?;
         let mut last = None;
         for &i in &self.preference {
             let s = &self.servers[i];
             let trial = if full { s.trial } else { s.trial.min(0) };
-            // Failure: a proxy at its limit sent on trial to upstreams that it had left idle as slow.
+            // Failure: a proxy at its limit sent trial requests to upstreams that it had left idle for being
+            // slow.
             if s.in_flight >= self.k(s, trial) || (full && s.in_flight < self.k(s, 0)) {
                 continue;
             }
@@ -115,7 +120,7 @@
         let first = e.attempts.is_empty();
         let before = e.latest_begin(&self.settings.classes[e.class]);
         self.in_flight_attempts.push((id, e.attempts.len()));
-        // While its body is coming the upstream has nothing to do, and no slot is taken.
+        // The upstream does no work until the body is complete, so no slot is taken before that.
         e.attempts.push(Attempt { slot_freed: e.coming, ..Attempt::new(server, now) });
         let (class, timeout, slots) = (e.class, e.worth_until.since(now), i32::from(!e.coming));
         self.count_queued(class, -1);
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -1,50 +1,57 @@
-//! What answers tell: TP, TS and lanes of each upstream, and from them K_i and N_i.
+//! Estimates learned from answers: TP, TS and concurrency of the upstreams, and K_i and N_i derived from
+//! them.
 
 use super::*;
 
-/// An attempt that failed counts as this many mean service times at least.
+/// A failed attempt counts as at least this many mean service times.
 const FAULT_SLOWNESS: f64 = 5.0;
-/// With so much of the fleet shut to a class it is the fleet that is slow, and none is shut.
+/// Panic mode: when more than this share of the upstreams is paused for a class, the fleet as a whole is
+/// slow, and the pauses for that class are ignored.
 const PANIC_THRESHOLD: f64 = 0.75;
-/// An upstream this many times slower than the mean is a suspect.
+/// An upstream more than this many times slower than the mean is an outlier.
 const OUTLIER_SLOWNESS: f64 = 2.0;
-/// Least reach in the cost of an upstream, so that slowness tells also in the middle of one's part.
+/// Added to the ring distance in an upstream's cost, so that slowness counts even at distance 0.
 const MIN_DISTANCE: f64 = 0.1;
-/// Most requests that an upstream is tried with side by side.
+/// Maximum concurrency of an upstream that is tried.
 const MAX_CONCURRENCY: usize = 32;
-/// An unseen level weighs as so many answers that no more gets done than one below, as the paper has it.
+/// Weight, in answers, of the prior that a level has no more throughput than the one below it (the paper's
+/// assumption).
 const LEVEL_PRIOR_ANSWERS: f64 = 16.0;
-/// Answers that what is known of a level reaches back over.
+/// Number of answers after which a level's history is halved.
 const LEVEL_MEMORY_ANSWERS: f64 = 128.0;
-/// Answers at the level in use that others are measured against, each round.
+/// A round ends after this many answers at the level in use, against which the other levels are measured.
 const MIN_ROUND_ANSWERS: f64 = 8.0;
-/// A longer wait for the next answer, in service times, tells of a fault, not of the level.
+/// Cap on the time booked for one answer, in service times: a longer gap shows a fault, not the level's
+/// throughput.
 const MAX_GAP_SERVICE_TIMES: f64 = 5.0;
-/// The fewest lanes that reach this share of the best throughput are taken: more is bought with latency.
+/// The lowest concurrency with this share of the best throughput is used; more would cost latency.
 const SUFFICIENT_THROUGHPUT_SHARE: f64 = 0.75;
-/// How long a trial runs, in service times: a few answers at each level.
+/// Duration of a trial in service times: enough for a few answers at each level.
 const TRIAL_SERVICE_TIMES: f64 = 4.0;
-/// Share of the upstreams that are tried with more lanes once enough is known of them.
+/// Share of the upstreams tried with higher concurrency once enough is known of that level.
 const TRIAL_SHARE: f64 = 1.0 / 96.0;
 
-/// What the answers of one upstream told: the round trip is split into 2*TP + TS.
+/// Estimates for one upstream: the round trip is split into 2*TP + TS. Times are in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Estimate {
-    /// Twice the propagation time, known once an answer did no work: the least round trip of any answer.
+    /// 2*TP, twice the propagation time: the least round trip of any answer. Known once the upstream has
+    /// rejected a request, as a rejection involves no work.
     pub(super) tp2: Option<f64>,
     pub(super) min_round_trip: f64,
-    /// Slowness: service time, waiting at the upstream included, over the fleet's mean for the same class.
-    /// TS_i is this times the fleet's mean, whatever mix of classes it drew.
+    /// Service time, including queueing at the upstream, relative to the fleet's mean for the same class.
+    /// TS_i is this times the fleet's TS, so it does not depend on the mix of classes that it received.
     pub(super) slowness: f64,
 }
 
 impl Estimate {
-    /// Before any answer: as fast as the fleet's mean.
+    /// Before any answer: the fleet's mean.
     pub(super) const NONE: Self = Self { tp2: None, min_round_trip: f64::INFINITY, slowness: 1.0 };
 
-    /// Takes in an answer of this latency, where the fleet's mean for its class is `mean`.
+    /// Updates the estimate from an outcome with this latency; `mean` is the fleet's mean for its class. Both
+    /// are in microseconds.
     pub(super) fn learn(&mut self, outcome: Outcome, latency: f64, mean: f64) {
-        // Failure: an upstream that stood still turned away late; as propagation, that left no N_i.
+        // Failure: an upstream with a process stall rejected requests late; taken for propagation time, that
+        // delay left it no N_i. Hence the least round trip of any answer is used.
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full) {
             self.min_round_trip = self.min_round_trip.min(latency);
             self.tp2 = (outcome == Outcome::Full || self.tp2.is_some()).then_some(self.min_round_trip);
@@ -52,7 +59,7 @@
         let service = (latency - self.tp2.unwrap_or(0.0)).max(1.0) / mean;
         let service = match outcome {
             Outcome::Ok => service,
-            // A quick error must not look like a fast upstream (it would earn slots).
+            // A quick error must not look like a fast upstream, which would be given more slots.
             Outcome::Error | Outcome::Timeout | Outcome::Reset => service.max(FAULT_SLOWNESS),
             _ => return,
         };
@@ -60,11 +67,12 @@
     }
 }
 
-/// How many requests an upstream of one kind runs side by side. The paper's run one; nobody tells. Learned
-/// from how often answers come while so many own requests are out at an upstream.
+/// Concurrency of one kind of upstream: how many requests it processes in parallel. The paper assumes one,
+/// and upstreams do not report it. It is learned from the rate of answers at each level, that is, number of
+/// own requests in flight at an upstream.
 ///
-/// Failure: judged by how long answers take at each level, one core looked like two: attempts that end before
-/// their neighbour does are the short ones.
+/// Failure: when estimated from the latency at each level, one core looked like two, because the attempts
+/// that finish before a concurrent one are the short ones.
 #[derive(Clone, Debug)]
 pub(super) struct Concurrency {
     pub(super) count: usize,
@@ -76,7 +84,8 @@
         Self { count: 1, level: vec![Level::default(); MAX_CONCURRENCY + 1] }
     }
 
-    /// Ends a round, if enough was seen, and takes the fewest lanes that get enough done.
+    /// Ends the round if enough answers were seen, and selects the lowest concurrency with sufficient
+    /// throughput.
     pub(super) fn choose(&mut self) {
         let now = self.level[self.count];
         if now.done < MIN_ROUND_ANSWERS {
@@ -105,43 +114,45 @@
         }
     }
 
-    /// The level to try next, and whether enough is known of it. Twice the count, a step that wins more than
-    /// LANES_ENOUGH asks. Failure: tried with one more, six cores stuck at three lanes for good.
+    /// The level to try next, and whether enough is known of it. The step is a doubling, whose gain can
+    /// exceed what SUFFICIENT_THROUGHPUT_SHARE requires. Failure: with steps of one, upstreams with six cores
+    /// stayed at a concurrency of three for good.
     pub(super) fn next(&self) -> (usize, bool) {
         let next = (2 * self.count).min(MAX_CONCURRENCY);
         (next, self.level[next].expected >= LEVEL_PRIOR_ANSWERS)
     }
 }
 
-/// What the fleet as a whole sustains for this proxy.
+/// Fleet-wide estimates of this proxy. Times are in microseconds.
 #[derive(Debug, Default)]
 pub(super) struct Fleet {
     pub(super) ts: f64,
-    /// Mean latency of each class, and its mean deviation.
+    /// Mean latency of each class (0 before the first answer), and its mean deviation.
     pub(super) mean: Vec<f64>,
     pub(super) dev: Vec<f64>,
-    /// Share of the attempts for which the time of a second copy came and that were never answered.
+    /// By class: share of the attempts still in flight when a second copy was due that were never served.
     pub(super) unanswered_share: Vec<f64>,
-    /// The longest wait that each class can bear, and the part of it that a class may use.
+    /// The longest wait that still meets the aim of every class, and the share of it that each class may use.
     pub(super) max_wait: f64,
     pub(super) wait_share: Vec<f64>,
     pub(super) tp2: f64,
-    /// By kind of upstream.
+    /// By kind of upstream; and when the last trials began.
     pub(super) concurrency: Vec<Concurrency>,
     pub(super) last_trial: Time,
-    /// This proxy's limit in even parts of the bank, and TS as it was in good times. Failure: judged by the
-    /// TS of the moment, a whole bank that crowds itself never looks crowded.
+    /// This proxy's limit as a multiple of its even share of the fleet's slots; and TS without congestion,
+    /// the baseline for it. Failure: compared with the current TS, a fleet whose proxies all congest it never
+    /// looks congested.
     pub(super) overcommit: f64,
     pub(super) baseline_ts: f64,
-    /// Answers of warm upstreams, a decaying count by kind; and the highest rate of them per unit of weight
-    /// that was seen lately, by kind and over all.
+    /// Answers of warm upstreams, as a decaying count by kind; and their highest recent rate per microsecond
+    /// and unit of weight, by kind and overall.
     pub(super) warm_served: Vec<f64>,
     pub(super) warm_rate: Vec<f64>,
     pub(super) overall_warm_rate: f64,
     pub(super) counted: Time,
-    /// Requests of the whole bank at one upstream, as reports tell.
+    /// Mean number of requests of all proxies at one upstream, from load reports.
     pub(super) load: Option<f64>,
-    /// Share of their N_i that upstreams have free by their reports: a decaying sum, and its weight.
+    /// Free share of the upstreams' N_i, from load reports: a decaying sum, and its weight.
     pub(super) free: (f64, f64),
 }
 
@@ -154,20 +165,21 @@
         s.estimate.tp2.unwrap_or(self.fleet.tp2)
     }
 
-    /// Requests that upstreams of its kind run side by side.
+    /// Number of requests that upstreams of its kind process in parallel.
     pub(super) fn concurrency(&self, s: &Server) -> f64 {
         self.fleet.concurrency[s.kind as usize].count as f64
     }
 
-    /// K_i = 2*TP_i / TS_i + 1 for an upstream that runs one request at a time, and one more for each further
-    /// lane; N_i at most.
+    /// K_i = 2*TP_i / TS_i + 1 for an upstream that processes one request at a time, plus one for each
+    /// further parallel request; N_i at most.
     pub(super) fn k_exact(&self, s: &Server, tp2: f64) -> f64 {
         (tp2 / self.ts(s) + self.concurrency(s)).min(self.n_rate(s) * self.t_qos)
     }
 
-    /// K_i in whole requests, with lanes on trial; at least one, or the upstream would never update. Fewer
-    /// than K_i go there from the whole bank, by what reports tell and the least round trip. Failure: alone
-    /// after a drain, a proxy left upstreams idle between two requests.
+    /// K_i in whole requests plus the trial offset; at least one, since an upstream without requests would
+    /// never update its estimate. If load reports show that all proxies together have fewer than K_i (by the
+    /// least round trip) in flight there, this proxy takes the rest. Failure: the only proxy left after a
+    /// drain left upstreams idle between requests.
     pub(super) fn k(&self, s: &Server, trial: i32) -> u32 {
         let tp2 = self.tp2(s);
         let bank = self.k_exact(s, if s.estimate.min_round_trip.is_finite() { s.estimate.min_round_trip } else { tp2 });
@@ -175,7 +187,7 @@
         (k as i32 + trial).max(1) as u32
     }
 
-    /// N_i per unit of time: 1 / (2*TP_i + TS_i) for each lane.
+    /// N_i per microsecond: 1 / (2*TP_i + TS_i) times the concurrency.
     pub(super) fn n_rate(&self, s: &Server) -> f64 {
         self.concurrency(s) / (self.tp2(s) + self.ts(s))
     }
@@ -186,9 +198,11 @@
         }
         self.fleet.last_trial = now;
         self.fleet.concurrency.iter_mut().for_each(Concurrency::choose);
-        // One own upstream at a time, or half of them while nothing is known of more lanes (failure: at six
-        // cores, learned one by one, a quarter was refused for the first minute of a quiet day). Not beyond
-        // one's own part: there the trials of a bank would meet.
+        // Trials run on one own upstream at a time, or on half of them while nothing is known of the next
+        // level.
+        // Failure: with six cores and trials on one upstream at a time, a quarter of the requests was refused
+        // in the first minute of a day with low load. Upstreams that are not this proxy's own are excluded, as
+        // the trials of several proxies would overlap there.
         self.servers.iter_mut().for_each(|s| s.trial = 0);
         let own = |&i: &usize| self.servers[i].distance <= OWN_DISTANCE && self.is_representative(now, &self.servers[i]);
         let own: Vec<usize> = self.preference.iter().copied().filter(own).collect();
@@ -217,18 +231,19 @@
         }
     }
 
-    /// The part of the bank's work that falls to this proxy. The paper's one balancer sees all.
+    /// The share of the fleet's capacity that this proxy may use. The paper has one balancer that sees all
+    /// requests.
     pub(super) fn proxy_share(&self) -> f64 {
         (self.fleet.overcommit / f64::from(self.settings.balancers)).min(1.0)
     }
 
-    /// Young upstreams and outliers say nothing of their kind.
+    /// Whether its answers are representative of its kind: not for upstreams in slow start and outliers.
     pub(super) fn is_representative(&self, now: Time, s: &Server) -> bool {
         s.estimate.slowness <= OUTLIER_SLOWNESS && self.cold_share(now, s).is_none()
     }
 
-    /// Books the time since the last change of an upstream's in-flight, and the work of an answer that ends
-    /// it.
+    /// Books the time since an upstream's number of requests in flight last changed, and the work of the
+    /// answer that ends that period, if any (`answered` is its class).
     pub(super) fn count_level(&mut self, now: Time, server: usize, answered: Option<usize>) {
         let s = &self.servers[server];
         let time = now.since(s.in_flight_changed).f().min(self.ts(s) * MAX_GAP_SERVICE_TIMES);
@@ -249,13 +264,14 @@
         *mean += (latency - *mean) * if new { 1.0 } else { MEAN_GAIN };
     }
 
-    /// Requests out at an upstream, its K_i, and its N_i within the time `t`; for gauges.
+    /// Requests in flight at an upstream, its K_i, and its N_i for the time `t`; for gauges. `None` for an
+    /// unknown upstream.
     pub fn upstream(&self, id: ServerId, t: Span) -> Option<(u32, u32, f64)> {
         let s = &self.servers[*self.by_id.get(&id)?];
         Some((s.in_flight, self.k(s, 0), self.n_rate(s) * t.f()))
     }
 
-    /// How many upstreams the list names, and how many of them get no request now; for gauges.
+    /// Number of upstreams on the list, and how many of them are paused for all classes; for gauges.
     pub fn pool(&self, now: Time) -> (usize, usize) {
         let listed = self.servers.iter().filter(|s| s.status != Status::Gone);
         let shut = |s: &&Server| now < s.breaker.until || s.by_class.iter().all(|b| now < b.until);
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -1,10 +1,12 @@
-//! Membership: upstreams that come, drain and go, and this proxy's part of them.
+//! Membership: upstreams that join, drain and leave, and this proxy's share of them.
 
 use super::*;
 
-/// Points of the proxies on the ring: multiples of the golden ratio are even for any run and every n-th.
+/// Fractional part of the golden ratio. Its multiples are the proxies' positions on the ring: any consecutive
+/// run of them, and every n-th, is spread evenly.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
-/// An upstream across zones, where crossing has a price, is as far as a whole part of the fleet.
+/// Added to the ring distance of an upstream in another zone where crossing zones has a price: one full
+/// share.
 const CROSS_ZONE_DISTANCE: f64 = 1.0;
 
 impl Balancer {
@@ -49,8 +51,8 @@
         self.dispatch(now, actions);
     }
 
-    /// Lays the upstreams of each zone on a ring, and this proxy at its own point of it. The points of any
-    /// run of proxies, or of every n-th, are spread evenly (multiples of the golden ratio).
+    /// Places the upstreams of each zone on a ring and computes their distance from this proxy's position, a
+    /// multiple of the golden ratio. Positions of consecutive proxies, or of every n-th, are spread evenly.
     pub(super) fn assign_ring_distances(&mut self) {
         let mut live: Vec<usize> = (0..self.servers.len()).collect();
         live.retain(|&i| self.servers[i].status == Status::Live);
@@ -74,9 +76,9 @@
         self.preference = live;
     }
 
-    /// Closes what idles at an upstream that drains or is gone, where a rule asks for it: on the notice,
-    /// after each outcome there, and once a sweep for as long as the rule allows, since a connection may come
-    /// free a moment after the outcome that used it was told.
+    /// Closes idle connections to an upstream that drains or is gone, where `drain_close` is set: on the list
+    /// update, after each outcome there, and on each sweep within the allowed time, since a connection may
+    /// become idle shortly after the outcome of its attempt was reported.
     pub(super) fn close_idle(&mut self, now: Time, server: usize, actions: &mut Vec<Action>) {
         let s = &mut self.servers[server];
         let within = self.settings.rules.drain_close;
@@ -116,7 +118,8 @@
                 close_until: now,
             });
         }
-        // Spread over the bank: a random part of the first send is already earned.
+        // Starts with a random fraction of a token, so that the fleet's first sends to it are spread over
+        // time.
         let head_start = self.rng.rand_float();
         let kind = m.kind.min(255) as usize;
         let concurrency = &mut self.fleet.concurrency;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,7 +1,8 @@
-//! Every decision of the balancer, and nothing else: no clock, no I/O, no threads.
-//! Its interface (settings, events, actions) is `src/interface.rs`; its plain records are `src/state.rs`.
-//! The ordinary path is Ould Deye et al.'s: a first-come queue, at most `K_i = 2*TP_i/TS_i + 1` requests out
-//! per upstream, and refusal once queued plus in-flight reach the sum of `N_i = T_QoS / (2*TP_i + TS_i)`.
+//! The load balancing policy: a deterministic state machine without clock, I/O or threads.
+//! Its interface (settings, events, actions) is in `src/interface.rs`, its plain records in `src/state.rs`.
+//! The base algorithm is that of Ould Deye et al.: a FIFO queue, at most `K_i = 2*TP_i/TS_i + 1` requests in
+//! flight per upstream, and refusal once queued plus in-flight requests reach the sum of
+//! `N_i = T_QoS / (2*TP_i + TS_i)`.
 
 mod admission;
 mod breaker;
@@ -22,30 +23,33 @@
 use breaker::Breaker;
 use estimates::{Estimate, Fleet, Concurrency};
 
-/// Housekeeping period as a share of the shortest aim: held requests are refused close to their limit.
+/// Period of the sweep timer as a share of the shortest aim; short, so that queued requests are refused close
+/// to their time limit.
 const SWEEP_PERIOD_SHARE_OF_AIM: f64 = 1.0 / 32.0;
-/// Weight of a new round trip in TS (per answer): about the last eight answers count.
+/// Weight of a new answer in a moving average: about the last eight answers count.
 const TS_GAIN: f64 = 0.125;
-/// Weight of a new answer in the fleet's mean of its class.
+/// Weight of a new answer in the fleet-wide mean latency of its class.
 const MEAN_GAIN: f64 = 0.02;
-/// One answer counts as this many at most: a heavy request must not condemn the upstream that drew it.
+/// Upper bound of one answer's slowness: a single heavy request must not mark its upstream as slow.
 const SLOWNESS_MAX: f64 = 10.0;
-/// Own are the upstreams within half a part to either side.
+/// Upstreams within this ring distance, half a fair share to either side, are this proxy's own.
 const OWN_DISTANCE: f64 = 0.5;
-/// A proxy starts with so many times its even part of the bank's slots: clients are never spread evenly.
+/// Initial and least overcommit: a proxy's limit as a multiple of its even share of the fleet's slots. Above
+/// 1 because clients never spread evenly over the proxies.
 const BASE_OVERCOMMIT: f64 = 1.2;
-/// TS of an upstream before any answer from any upstream, as a share of T_QoS.
+/// Initial TS before the first answer from any upstream, as a share of T_QoS.
 const INITIAL_TS_SHARE_OF_QOS: f64 = 0.25;
-/// Longest first wait before the list is asked, as a share of `ask_every`: restarts must not swamp it.
+/// Maximum random delay of a list call, as a share of `ask_every`: restarts of many proxies at once must not
+/// overload the list service.
 const LIST_CALL_JITTER_SHARE: f64 = 0.05;
-/// Longest wait for the first call for the list or after a failed one: news count as told 6 s after they
-/// could be had (STANDING), and the call waits for its turn too.
+/// Maximum delay of the first list call and of the call after a failed one. A proxy is deemed notified 6 s
+/// after an update was available (STANDING), and the call itself may have to wait in a queue as well.
 const MAX_LIST_CALL_DELAY: Span = Span(2_000_000);
-/// A list call unanswered for this share of `ask_every` is made again.
+/// A list call that is unanswered for this share of `ask_every` is repeated.
 const LIST_CALL_RETRY_SHARE: f64 = 0.5;
 
 impl Settings {
-    /// T_QoS: one target for all, the mean of the class aims.
+    /// T_QoS in microseconds: the mean of the class aims, one target for all classes.
     fn t_qos(&self) -> f64 {
         self.classes.iter().map(|c| c.aim.f()).sum::<f64>() / self.classes.len() as f64
     }
@@ -67,28 +71,30 @@
     started: Option<Time>,
     identity: u64,
     in_flight: u32,
-    /// When that last changed.
+    /// When `in_flight` last changed.
     in_flight_changed: Time,
-    /// Turned away or out of reach; and, class by class, unanswered or in error.
+    /// Tripped by rejections and failed connections; `by_class` by errors, resets, time-outs and overdue
+    /// attempts of one class.
     breaker: Breaker,
     by_class: Vec<Breaker>,
-    /// When the latest-sent of its answered attempts was sent.
+    /// Send time of the most recently sent attempt that was answered.
     last_answered_sent: Time,
     estimate: Estimate,
-    /// Sends a young upstream may still get, and when that was last reckoned.
+    /// Slow start: token bucket of sends to a recently started upstream, and when it was last refilled.
     tokens: f64,
     refilled: Time,
-    /// Lanes more or fewer than its kind has, by way of trial.
+    /// Trial offset to the concurrency of its kind.
     trial: i32,
-    /// Requests of other proxies there, as its reports tell; one until they do.
+    /// Mean number of requests that other proxies have in flight there, from load reports; 1 before any
+    /// report.
     others_in_flight: f64,
-    /// How far from this proxy's own part of the fleet, in such parts.
+    /// Ring distance from this proxy's position, in units of one proxy's share of the fleet.
     distance: f64,
-    /// Until when idle connections are closed again and again, where a rule asks for it.
+    /// Until when idle connections to it are closed on every sweep, where `drain_close` is set.
     close_until: Time,
 }
 
-/// One proxy's share of the bank: all its decisions.
+/// The load balancing policy of one proxy in the fleet.
 #[derive(Debug)]
 pub struct Balancer {
     settings: Settings,
@@ -96,22 +102,23 @@
     rng: Rand64,
     started: bool,
     servers: Vec<Server>,
-    /// Live upstreams, own ones first.
+    /// Live upstreams in ascending order of cost: near and fast ones first.
     preference: Vec<usize>,
     by_id: FxHashMap<ServerId, usize>,
     requests: FxHashMap<RequestId, RequestState>,
     queue: VecDeque<RequestId>,
     key_queues: FxHashMap<u64, KeyQueue>,
     partitions: Vec<CapacityPartition>,
-    /// Which of them each class has.
+    /// Index into `partitions` by class.
     partition_of: Vec<usize>,
-    /// Attempts that are out, and further ones that what is overdue may still have.
+    /// Attempts without an outcome, as request and attempt index; and the budget of second copies, in
+    /// attempts.
     in_flight_attempts: Vec<(RequestId, usize)>,
     second_copy_budget: f64,
-    /// Whether so much of the fleet is shut to a class that it is open to it all the same.
+    /// By class: so many upstreams are paused for the class that its pauses are ignored (panic mode).
     panic: Vec<bool>,
     fleet: Fleet,
-    /// What each tenant may still send within its share.
+    /// Token bucket of each tenant's share.
     quotas: Vec<Quota>,
     list_calls: ListCalls,
 }
@@ -119,8 +126,11 @@
 const SWEEP_TIMER: u64 = 1;
 
 impl Balancer {
-    /// A balancer that knows its settings and nothing else yet. Its first event starts its timers: give it
-    /// what list there is right away, if only an empty [`ListKind::Restored`].
+    /// Creates a balancer without upstreams. The first event starts its timers, so the caller should deliver
+    /// the available list at once, even if it is only an empty [`ListKind::Restored`].
+    ///
+    /// # Errors
+    /// The settings name no class, or a class with an aim or deadline that is not above zero.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
         let settings = settings.checked()?;
         let t_qos = settings.t_qos();
@@ -161,7 +171,7 @@
         })
     }
 
-    /// Takes in what happened and appends what is to be done about it, in order.
+    /// Processes an event and appends the resulting actions in the order in which they must be carried out.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.started, true) {
             self.list_calls.next = now.plus(self.jitter(LIST_CALL_JITTER_SHARE).min(MAX_LIST_CALL_DELAY));
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -1,48 +1,51 @@
-//! Attempts: where one may go, what its outcome means, and whether another follows.
+//! Attempts: which upstreams are eligible, how outcomes are processed, and when a request is retried.
 
 use super::*;
 
-/// An upstream that turned a request away or can't be reached rests for this share of the mean service time.
+/// Pause of an upstream that rejected a request or can't be reached, as a share of the mean service time.
 const PAUSE_SHARE_OF_TS: f64 = 0.5;
-/// Most doublings of that: some thirty service times between trials of a dead upstream.
+/// Maximum number of doublings of that pause: about thirty service times between attempts at a dead upstream.
 const MAX_PAUSE_DOUBLINGS: u32 = 6;
-/// Most doublings where one class goes unanswered: a trial costs a request; no pause outlasts the trouble.
+/// Maximum number of doublings of the pause for one class. Higher, as each attempt at such an upstream costs
+/// a request, and a doubling pause is never much longer than the fault has lasted.
 const MAX_CLASS_PAUSE_DOUBLINGS: u32 = 10;
-/// An attempt is overdue so many mean deviations past its class's mean latency.
+/// An attempt is overdue this many mean deviations after its class's mean latency.
 const OVERDUE_DEVIATIONS: f64 = 3.0;
-/// A second copy goes no sooner than after so many times the mean.
+/// A second copy is sent after at least this many times the class's mean latency.
 const MIN_SECOND_COPY_MEANS: f64 = 1.5;
-/// And only where more than this share of those so late were never answered: a slow fleet needs no more load.
+/// A second copy is sent only where more than this share of such late attempts were never answered: a slow
+/// fleet must not get more load.
 const MIN_UNANSWERED_SHARE: f64 = 0.4;
-/// Each answer at the limit moves that by so much.
+/// Relative change of the overcommit limit per answer.
 const OVERCOMMIT_GAIN: f64 = 0.02;
-/// An answer that took so many times as long as in good times was crowded: one more in its way makes it two.
+/// An answer that took more than this many times the baseline shows congestion: a single request ahead of it
+/// makes the ratio two.
 const CROWDED_LATENCY_RATIO: f64 = 1.5;
-/// The limit is given up so many times faster than won: it is others' part that is given back.
+/// The limit falls this many times faster than it rises, since the excess belongs to other proxies.
 const OVERCOMMIT_DECREASE: f64 = 1.5;
-/// And so many times faster again where an upstream turned a request away.
+/// It falls this many times faster again after a rejection by an upstream.
 const REJECTION_DECREASE: f64 = 6.0;
-/// An even part of more upstreams than this needs less of others' part: its bursts even out by themselves.
+/// A proxy whose even share is more upstreams than this needs less overcommit, as bursts average out.
 const FEW_UPSTREAMS: f64 = 3.0;
-/// How fast the service time of good times follows a worse one, per answer.
+/// Weight of a new answer in the baseline TS when the current TS is higher.
 const BASELINE_TS_GAIN: f64 = 1.0 / 1024.0;
 
 impl Balancer {
-    /// The one place that says whether a request may be sent (again), to this upstream, now.
+    /// Whether a request may be sent (again) to this upstream now. All sends are checked here.
     pub(super) fn may_send(&self, now: Time, id: RequestId, e: &RequestState, server: usize) -> bool {
         self.is_eligible(now, e, server)
             && self.is_next_for_key(now, id, e)
             && self.slow_start_allows(now, &self.servers[server])
     }
 
-    /// Zones and kinds that a class is bound to.
+    /// Whether the zones and kinds that the class is bound to include this upstream; always for no class.
     pub(super) fn open_to(&self, class: Option<usize>, s: &Server) -> bool {
         let Some(c) = class.map(|c| &self.settings.classes[c]) else { return true };
         c.zones.as_ref().is_none_or(|z| z.contains(&s.zone))
             && c.kinds.as_ref().is_none_or(|k| k.contains(&s.kind))
     }
 
-    /// What does not pass by waiting: drain, placement, effect, group, attempts.
+    /// Conditions that waiting does not change: drain, placement, effect, group, number of attempts.
     pub(super) fn is_eligible(&self, now: Time, e: &RequestState, server: usize) -> bool {
         let limits = &self.settings.limits;
         let s = &self.servers[server];
@@ -74,7 +77,8 @@
         }
     }
 
-    /// The one place that says whether a request may be refused.
+    /// Whether a request may be refused, that is, can safely be sent again by its client. All refusals of
+    /// requests that were sent are checked here.
     pub(super) fn may_refuse(&self, e: &RequestState) -> bool {
         let class = &self.settings.classes[e.class];
         let dropped = class.effect == Effect::Keyed && class.group == Group::All;
@@ -104,7 +108,7 @@
         self.dispatch(now, actions);
     }
 
-    /// A body is whole: its upstream starts on it, and it takes a slot from here on.
+    /// The body is complete: the upstream starts work, and the attempt takes a slot from now on.
     pub(super) fn handle_body_complete(&mut self, now: Time, id: RequestId) {
         let Some(e) = self.requests.get_mut(&id) else { return };
         (e.coming, e.body_consumed) = (false, e.has_in_flight());
@@ -116,11 +120,11 @@
 
     pub(super) fn learn(&mut self, now: Time, class: usize, attempt: Attempt, a: &Answer) {
         let server = attempt.server;
-        // Failure: one absurd latency put the mean of its class out of reach for good.
+        // Failure: a single absurd latency distorted the mean of its class for good. Hence the clamp.
         let latency = a.latency.f().clamp(1.0, self.settings.classes[class].deadline.f());
         self.count_level(now, server, (a.outcome == Outcome::Ok).then_some(class));
-        // Failure: a second lane on trial made an upstream look slow, and drove its proxy into the parts of
-        // others.
+        // Failure: a second parallel request on trial made the upstream look slow, and drove its proxy to
+        // other proxies' upstreams. Hence latencies on trial are not learned.
         let on_trial = self.servers[server].in_flight > self.k(&self.servers[server], 0);
         if a.outcome == Outcome::Ok && !on_trial {
             self.learn_class_mean(class, latency);
@@ -131,7 +135,8 @@
         if let Some(n) = a.report.inflight.filter(|n| *n >= 0.0) {
             let load = self.fleet.load.get_or_insert(n);
             *load += (n - *load) * TS_GAIN;
-            // A hung one holds dozens, but takes no more than its own N_i from what the fleet has free.
+            // A hung upstream may report dozens, but counts as no more than its own N_i against the fleet's
+            // free capacity.
             let fits = self.n_rate(&self.servers[server]) * (self.fleet.ts + self.fleet.max_wait);
             let (free, report_weight) = self.fleet.free;
             let decay = 1.0 - MEAN_GAIN;
@@ -170,20 +175,21 @@
         }
     }
 
-    /// Moves the limit by what an answer tells of the room there. Failure: where a zone was lost with its
-    /// proxies, the rest kept to the parts of a whole bank, and refused beside upstreams that idled.
+    /// Adjusts the overcommit limit by whether an answer shows congestion. Failure: when a zone was lost with
+    /// its proxies, the remaining proxies stayed at their shares of the full fleet and refused requests while
+    /// upstreams were idle.
     pub(super) fn learn_overcommit(&mut self, latency: f64, a: &Answer) {
         let (f, outcome) = (&mut self.fleet, a.outcome);
         let latency = match outcome {
             Outcome::Ok => latency.min(SLOWNESS_MAX),
-            // Failure: upstreams where nothing waited turned one class away, and each time a third of the
-            // limit went.
+            // Failure: upstreams with empty queues rejected one class, and each rejection cut the limit by a
+            // third. Hence a reported empty queue exempts the rejection.
             Outcome::Full if a.report.queue.is_none_or(|q| q >= 1.0) => SLOWNESS_MAX,
             _ => return,
         };
         f.baseline_ts += if f.ts < f.baseline_ts { f.ts - f.baseline_ts } else { (f.ts - f.baseline_ts) * BASELINE_TS_GAIN };
-        // Failure: it fell with every heavy request and rose only at the limit, so where bursts alone reach
-        // the limit it never left its least value, and proxies refused beside idle upstreams.
+        // Failure: the limit fell with every heavy request and rose only when reached. Where only bursts
+        // reach it, it stayed at its minimum, and proxies refused requests while upstreams were idle.
         let idle = self.partitions[0].in_flight as f64 + 1.0 < self.partitions[0].even;
         if idle && outcome == Outcome::Ok {
             return;
@@ -196,8 +202,8 @@
         f.overcommit = f.overcommit.clamp(BASE_OVERCOMMIT, BASE_OVERCOMMIT.max(f64::from(self.settings.balancers)));
     }
 
-    /// When an attempt is overdue, long past its class's latency; and when a second one must go to be in
-    /// time.
+    /// When an attempt is overdue, well past its class's usual latency; and when a second copy must be sent
+    /// to be answered in time.
     pub(super) fn overdue_at(&self, e: &RequestState, a: &Attempt) -> (Time, Time) {
         let class = &self.settings.classes[e.class];
         let (mean, dev) = (self.fleet.mean[e.class], self.fleet.dev[e.class]);
@@ -210,10 +216,11 @@
         (a.sent.plus(Span::of(overdue_after)), a.sent.plus(Span::of(again)))
     }
 
-    /// Watches what is out. What is overdue is a fault of its upstream in its class; in time for a second
-    /// one, it is sent elsewhere too where that is allowed, promises something and the budget lasts. Guards
-    /// against hung and vanished upstreams, lost answers, stalls, a class that goes unanswered, dead
-    /// connections. May hurt where requests of one class differ widely: a heavy one looks lost.
+    /// Checks the attempts in flight. An overdue attempt counts as a fault of its upstream for its class.
+    /// When a second copy is due, it is queued for another upstream if it is allowed, likely to help and
+    /// within budget. Guards against hung and vanished upstreams, lost answers, process stalls, a class that
+    /// goes unanswered, and dead connections. Drawback: where requests of one class differ widely, a heavy
+    /// one looks lost.
     pub(super) fn check_overdue(&mut self, now: Time) {
         for (id, n) in std::mem::take(&mut self.in_flight_attempts) {
             let Some(e) = self.requests.get(&id) else { continue };
@@ -231,8 +238,9 @@
             let again = again && !e.ended && !e.in_queue && now < e.queue_until;
             let again = again && self.preference.iter().any(|&i| self.is_eligible(now, e, i));
             let (class, s) = (e.class, &mut self.servers[a.server]);
-            // Failure: each lost answer held its slot for two aims, and a fleet that lost a quarter of them
-            // was refused for. An upstream that answered what was sent later has lost this one.
+            // Failure: each lost answer occupied its slot for two aims, and requests were refused when the
+            // fleet lost a quarter of its answers. An upstream that answered a later attempt has lost this
+            // one.
             let lost = late && !a.slot_freed && s.last_answered_sent > a.sent;
             if late && !a.overdue {
                 let mean = self.fleet.mean[class].max(1.0);
@@ -253,7 +261,7 @@
         }
     }
 
-    /// After an attempt that did not serve: again, or an end.
+    /// After an unsuccessful attempt: queues the request again if it may still be sent, else ends it.
     pub(super) fn requeue_or_give_up(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(e) = self.requests.get(&id) else { return };
         if e.ended {
@@ -280,13 +288,14 @@
         }
     }
 
-    /// Refuses what was held too long.
+    /// Removes requests that have exceeded their queueing time.
     pub(super) fn expire_queued(&mut self, now: Time, actions: &mut Vec<Action>) {
         let late =
             |id: &&RequestId| self.requests.get(id).is_some_and(|e| e.in_queue && now >= e.queue_until);
         let late: Vec<RequestId> = self.queue.iter().filter(late).copied().collect();
         for id in late {
-            // One with an attempt out waited for a second; the first may still be answered.
+            // A request with an attempt in flight was queued for a second copy; the first may still be
+            // answered.
             if let Some(e) = self.requests.get_mut(&id).filter(|e| e.has_in_flight()) {
                 e.in_queue = false;
                 let class = e.class;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,19 +1,21 @@
-//! Slow start: what an upstream that has just started may be sent.
+//! Slow start: limits the rate of sends to an upstream that has just started.
 
 use super::*;
 
-/// Pace to a young upstream of one's own, as a share of the stated multiple: few proxies own the same one.
+/// Send rate to an own upstream in slow start, as a share of `fall_multiple`: few proxies own the same
+/// upstream.
 const OWNER_PACE_SHARE: f64 = 1.0 / 3.0;
-/// The pace goes on to rise for so many times the cold spell. Failure: at its end a whole bank came at once.
+/// The send rate keeps rising for this many times the cold period. Failure: at the end of the cold period,
+/// all proxies sent at once.
 const RAMP_EXTENSION: f64 = 2.0;
 
 impl Balancer {
-    /// Share of its capacity that a young upstream has for certain; `None` once warm.
+    /// Least share of its capacity that an upstream has in its cold period; `None` once warm.
     pub(super) fn cold_share(&self, now: Time, s: &Server) -> Option<f64> {
         self.ramp(now, s, 1.0)
     }
 
-    /// The same line, drawn on for so many times as long.
+    /// The linear ramp of `cold_share`, extended to `times` the cold period; `None` after that.
     pub(super) fn ramp(&self, now: Time, s: &Server, times: f64) -> Option<f64> {
         let rules = &self.settings.rules;
         let progress = now.since(s.started?).f().max(0.0) / rules.cold.f().max(1.0);
@@ -24,24 +26,25 @@
         self.earned_sends(now, s).is_none_or(|tokens| tokens >= 1.0)
     }
 
-    /// Sends that a young upstream has earned by now, one at most; `None` once warm.
+    /// Tokens in the bucket of an upstream in slow start, one at most; `None` after slow start.
     pub(super) fn earned_sends(&self, now: Time, s: &Server) -> Option<f64> {
         let share = self.ramp(now, s, RAMP_EXTENSION)?;
         let elapsed = now.since(s.refilled).f().max(0.0);
         Some((s.tokens + elapsed * self.warm_rate(s) * share).min(1.0))
     }
 
-    /// Answers per microsecond that one warm upstream like `s` has been seen to give.
+    /// Observed answers per microsecond of a warm upstream of the same kind and weight, as the base of its
+    /// send rate.
     pub(super) fn warm_rate(&self, s: &Server) -> f64 {
         let f = &self.fleet;
         let like = f.warm_rate.get(s.kind as usize).copied().unwrap_or(0.0);
         let rate = s.weight * if like > 0.0 { like } else { f.overall_warm_rate };
         let multiple = self.settings.rules.fall_multiple.max(1.0);
-        // Failure: with every upstream young, or nothing observed yet, none got any work.
+        // Failure: with all upstreams in slow start, or nothing observed yet, none received any requests.
         let min_rate = multiple / f64::from(self.settings.balancers) / f.ts;
         let rate = if rate > 0.0 { rate } else { min_rate };
-        // Failure: a fleet that grew fourfold kept refusing: each young upstream had the pace of an even
-        // spread over the bank, but only the proxies whose own it was sent it anything.
+        // Failure: a fleet that grew fourfold kept refusing requests: the rate to each new upstream assumed
+        // an even spread over all proxies, but only the proxies that own it sent to it.
         let owner = if s.distance <= OWN_DISTANCE { multiple * OWNER_PACE_SHARE * self.concurrency(s) / f.ts } else { 0.0 };
         rate.max(owner)
     }
@@ -52,8 +55,8 @@
         (s.tokens, s.refilled) = (earned - 1.0, now);
     }
 
-    /// Counts what warm upstreams served, not what they were sent: in a storm of refusals the sends of a bank
-    /// add up to a multiple of what any upstream can do.
+    /// Counts what warm upstreams served, not what they were sent: when upstreams reject many requests, the
+    /// sends of all proxies add up to a multiple of an upstream's capacity.
     pub(super) fn count_served(&mut self, now: Time, server: usize) {
         let s = &self.servers[server];
         if self.cold_share(now, s).is_some() {
@@ -86,7 +89,8 @@
         let f = &mut self.fleet;
         f.warm_served.iter_mut().for_each(|w| *w *= (-elapsed / window).exp());
         f.warm_rate.resize(weight.len(), 0.0);
-        // Failure: when the warm ones slowed, the young, who did not, were held back with them.
+        // Failure: when the warm upstreams slowed down, those in slow start were throttled with them. Hence
+        // the decaying peak instead of the current rate.
         let keep = |peak: &mut f64, served: f64, weight: f64| {
             let seen = if weight > 0.0 && served >= 1.0 { served / window / weight } else { 0.0 };
             *peak = (*peak * (-elapsed / cold).exp()).max(seen);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,28 +1,28 @@
-//! The deployment's settings as JSON states them, for every program that hosts a balancer: one reading of
-//! names and units, or the bench and the service would drift apart.
-#![allow(missing_docs)] // the fields are named and explained where the deployment states them
+//! The JSON settings of a deployment. All programs that host a balancer share this parser, so that the benchmark
+//! and the service cannot differ in names or units.
+#![allow(missing_docs)] // the fields are documented with the deployment's settings
 
 use serde::Deserialize;
 
 use crate::interface::{self as d, Report, Span};
 
-/// Milliseconds in whole microseconds; whatever is not a number is 0.
+/// Converts milliseconds to whole microseconds; NaN becomes 0.
 pub fn span(ms: f64) -> Span {
     Span((ms * 1000.0).round() as i64)
 }
 
-/// FNV-1a: the same at every balancer and in every build.
+/// 64-bit FNV-1a hash: equal at every balancer and in every build.
 pub fn stable_hash(text: &str) -> u64 {
     text.bytes()
         .fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// A routing key: hex digits as they are, whatever else by its hash.
+/// The value of a routing key: parsed if it is a hexadecimal number, otherwise hashed.
 pub fn key_hash(key: &str) -> u64 {
     u64::from_str_radix(key, 16).unwrap_or_else(|_| stable_hash(key))
 }
 
-/// What one value of a load report tells.
+/// Meaning of a value in a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Field {
     InFlight,
@@ -31,7 +31,7 @@
     Service,
     Qps,
     Eps,
-    /// A name this build does not know.
+    /// A name unknown to this build; its value is ignored.
     Other,
 }
 
@@ -79,7 +79,7 @@
     pub machine_types: Vec<String>,
     pub tick: f64,
     pub registry_mode: RegistryMode,
-    /// Request classes; the deployment's word for them is older than ours for what routes lead to.
+    /// Request classes. The deployment's name for them, `Services`, predates the services that routes lead to.
     #[serde(rename = "Services")]
     pub classes: Vec<Class>,
     #[serde(default)]
@@ -254,7 +254,7 @@
 }
 
 impl Facts {
-    /// The module's settings: names become indexes, milliseconds microseconds.
+    /// Converts to the settings of the policy: names become indexes, milliseconds become microseconds.
     pub fn settings(&self) -> d::Settings {
         let facts = self;
         let class = |s: &Class| d::Class {
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,5 +1,4 @@
-//! Plain records that the policy keeps of requests and of sets of upstreams. No decision is made here;
-//! see [`crate::policy`].
+//! Plain records of the policy on requests and sets of upstreams. Decisions are made in [`crate::policy`].
 
 use std::collections::VecDeque;
 
@@ -17,11 +16,11 @@
     pub(crate) server: usize,
     pub(crate) sent: Time,
     pub(crate) state: AttemptState,
-    /// Unanswered for too long.
+    /// Unanswered well past the usual latency of its class.
     pub(crate) overdue: bool,
-    /// Out at the time when a second copy had to go to be in time.
+    /// Still in flight when a second copy had to be sent to be answered in time.
     pub(crate) second_copy_due: bool,
-    /// Its slot was given back before its outcome came.
+    /// It takes no slot: the request body is incomplete, or the slot was freed before the outcome.
     pub(crate) slot_freed: bool,
 }
 
@@ -36,65 +35,65 @@
 pub(crate) struct RequestState {
     pub(crate) class: usize,
     pub(crate) drop_dead: Time,
-    /// When an answer stops being worth anything.
+    /// When an answer loses its worth.
     pub(crate) worth_until: Time,
-    /// When a held request must be given up.
+    /// When a queued request must be given up.
     pub(crate) queue_until: Time,
     pub(crate) in_queue: bool,
     pub(crate) ended: bool,
-    /// Its body is still coming; and: is of no further use.
+    /// The request body is incomplete; and: it was consumed by an attempt and may no longer be resent.
     pub(crate) coming: bool,
     pub(crate) body_consumed: bool,
     pub(crate) attempts: Vec<Attempt>,
-    /// The key whose turn it waits for.
+    /// The key by which requests of an ordered class are serialised.
     pub(crate) order_key: Option<u64>,
 }
 
-/// The requests of one key that are to run in turn, and until when the key rests.
+/// The queue of requests serialised by one key, and until when the key is blocked.
 #[derive(Debug)]
 pub(crate) struct KeyQueue {
     pub(crate) waiting: VecDeque<RequestId>,
     pub(crate) blocked_until: Time,
 }
 
-/// What the upstreams that one set of classes may be sent to hold and can hold. The first room is the whole
-/// fleet; a class bound to zones or kinds has a room of its own. Failure: refused and held by the sums of the
-/// whole fleet, a bound class queued behind slots it could never have.
+/// Load and capacity of the upstreams that a set of classes may be sent to. The first partition is the whole fleet;
+/// classes bound to the same zones and kinds share one of their own. Failure: with admission by the fleet's sums, a
+/// bound class was queued for slots that it could never use.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CapacityPartition {
-    /// A class that is bound so; `None` for the whole fleet.
+    /// A class with this binding; `None` for the whole fleet.
     pub(crate) class: Option<usize>,
     pub(crate) queued: usize,
     pub(crate) in_flight: usize,
-    /// What other proxies have out there, where reports tell it.
+    /// Requests of other proxies in flight there, if load reports are available.
     pub(crate) others_in_flight: Option<f64>,
-    /// This proxy's even part of the slots, the slots it has, and the sum of 1 / (2*TP_i + TS_i) over live
+    /// This proxy's even share of the slots, the slots that it may use, and the sum of N_i per microsecond over live
     /// upstreams.
     pub(crate) even: f64,
     pub(crate) slots: f64,
     pub(crate) n_per_time: f64,
 }
 
-/// What was seen of a kind of upstream while so many own requests were out there.
+/// Throughput of a kind of upstream with a given number of own requests in flight.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Level {
-    /// This round: time spent at the level, and work done there.
+    /// This round: microseconds at the level, and work done there in mean answers.
     pub(crate) time: f64,
     pub(crate) done: f64,
-    /// Of all rounds: work done, and what the level in use would have done in that time. A fleet that slows
-    /// down as a whole changes neither against the other.
+    /// Of all rounds: work done, and the work that the level in use would have done in that time. Their ratio is not
+    /// affected when the fleet slows down as a whole.
     pub(crate) total: f64,
     pub(crate) expected: f64,
 }
 
-/// A tenant's share at this proxy, as a bucket of requests.
+/// A tenant's share at this proxy, as a token bucket of requests.
 #[derive(Debug)]
 pub(crate) struct Quota {
     pub(crate) tokens: f64,
     pub(crate) counted: Time,
 }
 
-/// Where the list must be asked: when to ask next.
+/// State of the list calls where the list is sent only on request: the next call, and consecutive failures.
 #[derive(Debug)]
 pub(crate) struct ListCalls {
     pub(crate) subscribed: bool,
@@ -120,8 +119,8 @@
     pub(crate) fn has_in_flight(&self) -> bool {
         self.attempts.iter().any(|a| a.state == AttemptState::InFlight)
     }
-    /// Until when an attempt may begin: the request's own time, and where it is keyed the window of each that may
-    /// have run.
+    /// Until when an attempt may begin: the request's deadline and, if it is keyed, the end of the deduplication window
+    /// of each attempt that may have run.
     pub(crate) fn latest_begin(&self, class: &Class) -> Time {
         let keyed = self.may_have_run().filter(|_| class.effect == Effect::Keyed);
         keyed.map(|a| a.sent.plus(class.window)).fold(self.drop_dead, Time::min)
@@ -135,7 +134,8 @@
 }
 
 impl Settings {
-    /// One room for the whole fleet, and one for each set of upstreams that some class is bound to.
+    /// One partition for the whole fleet and one for each set of upstreams that some class is bound to; and the index
+    /// of each class's partition.
     pub(crate) fn partitions(&self) -> (Vec<CapacityPartition>, Vec<usize>) {
         let (mut partitions, mut partition_of) = (vec![CapacityPartition::default()], Vec::new());
         for (i, c) in self.classes.iter().enumerate() {
