--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -26,7 +26,8 @@
         let queue_until = aim_at.plus(Span(-2 * self.settings.sweep_every().0));
         let order_key = r.key.filter(|_| class.in_order);
         let entry = RequestState::new(&r, worth_until, queue_until, order_key);
-        let ahead = entry.order_key.and_then(|k| self.key_queues.get(&k)).map_or(0, |l| l.waiting.len());
+        let ahead =
+            entry.order_key.and_then(|k| self.key_queues.get(&k)).map_or(0, |l| l.waiting.len());
         self.requests.insert(r.id, entry);
         let in_share = self.in_share(now, r.tenant);
         let starts = now.plus(Span::of(ahead as f64 * self.fleet.mean[r.class]));
@@ -56,7 +57,9 @@
         let partition = &self.partitions[self.partition_of[class]];
         let n = partition.n_per_time * (self.fleet.ts + self.fleet.max_wait * wait_share);
         // Without live upstreams N is 0: requests are queued until one appears or their time limit passes.
-        n == 0.0 || ((partition.queued + partition.in_flight) as f64) < self.share(partition, n, n).max(1.0)
+        n == 0.0
+            || ((partition.queued + partition.in_flight) as f64)
+                < self.share(partition, n, n).max(1.0)
     }
 
     /// This proxy's share of slots: its share of `even` plus an allowance for random variation, or, if
@@ -67,7 +70,8 @@
     pub(super) fn share(&self, partition: &CapacityPartition, even: f64, n: f64) -> f64 {
         let (p, (free, report_weight)) = (self.proxy_share(), self.fleet.free);
         let chance = (n * free / report_weight.max(1.0) * p * (1.0 - p)).sqrt();
-        (even * p + chance).max(partition.others_in_flight.map_or(0.0, |others_in_flight| n - others_in_flight))
+        (even * p + chance)
+            .max(partition.others_in_flight.map_or(0.0, |others_in_flight| n - others_in_flight))
     }
 
     pub(super) fn refresh_admission(&mut self) {
@@ -97,7 +101,8 @@
         let Some(e) = self.requests.get_mut(&id) else { return };
         e.ended = true;
         let class = e.class;
-        let (was_in_queue, in_flight, order_key) = (std::mem::take(&mut e.in_queue), e.has_in_flight(), e.order_key);
+        let (was_in_queue, in_flight, order_key) =
+            (std::mem::take(&mut e.in_queue), e.has_in_flight(), e.order_key);
         if was_in_queue {
             self.count_queued(class, -1);
         }
--- a/src/policy/choice.rs
+++ b/src/policy/choice.rs
@@ -50,8 +50,11 @@
     /// Whether the request is at the head of its key's queue and the key is not blocked. Always true for
     /// further attempts.
     pub(super) fn is_next_for_key(&self, now: Time, id: RequestId, e: &RequestState) -> bool {
-        let Some(key_queue) = e.order_key.and_then(|k| self.key_queues.get(&k)) else { return true };
-        !e.attempts.is_empty() || (key_queue.waiting.front() == Some(&id) && now >= key_queue.blocked_until)
+        let Some(key_queue) = e.order_key.and_then(|k| self.key_queues.get(&k)) else {
+            return true;
+        };
+        !e.attempts.is_empty()
+            || (key_queue.waiting.front() == Some(&id) && now >= key_queue.blocked_until)
     }
 
     /// Sends queued requests in FIFO order while some upstream has a free slot. A request that waits for an
@@ -112,7 +115,13 @@
         last
     }
 
-    pub(super) fn send(&mut self, now: Time, id: RequestId, server: usize, actions: &mut Vec<Action>) {
+    pub(super) fn send(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        server: usize,
+        actions: &mut Vec<Action>,
+    ) {
         self.count_send(now, server);
         self.count_level(now, server, None);
         let Some(e) = self.requests.get_mut(&id) else { return };
@@ -126,8 +135,14 @@
         self.count_queued(class, -1);
         self.count_in_flight(server, slots);
         if first {
-            self.second_copy_budget = (self.second_copy_budget + SECOND_COPIES_PER_REQUEST).min(self.partitions[0].slots.max(1.0));
+            self.second_copy_budget = (self.second_copy_budget + SECOND_COPIES_PER_REQUEST)
+                .min(self.partitions[0].slots.max(1.0));
         }
-        actions.push(Action::Send { request: id, server: self.servers[server].id, timeout, before });
+        actions.push(Action::Send {
+            request: id,
+            server: self.servers[server].id,
+            timeout,
+            before,
+        });
     }
 }
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -54,7 +54,8 @@
         // delay left it no N_i. Hence the least round trip of any answer is used.
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full) {
             self.min_round_trip = self.min_round_trip.min(latency);
-            self.tp2 = (outcome == Outcome::Full || self.tp2.is_some()).then_some(self.min_round_trip);
+            self.tp2 =
+                (outcome == Outcome::Full || self.tp2.is_some()).then_some(self.min_round_trip);
         }
         let service = (latency - self.tp2.unwrap_or(0.0)).max(1.0) / mean;
         let service = match outcome {
@@ -107,7 +108,8 @@
                 (top, best) = (n, gain[n].max(best));
             }
         }
-        let enough = (1..=top).find(|&n| gain[n] >= SUFFICIENT_THROUGHPUT_SHARE * best).unwrap_or(1);
+        let enough =
+            (1..=top).find(|&n| gain[n] >= SUFFICIENT_THROUGHPUT_SHARE * best).unwrap_or(1);
         if enough != self.count {
             self.count = enough;
             self.level.iter_mut().for_each(|l| l.expected *= gain[enough]);
@@ -182,7 +184,10 @@
     /// drain left upstreams idle between requests.
     pub(super) fn k(&self, s: &Server, trial: i32) -> u32 {
         let tp2 = self.tp2(s);
-        let bank = self.k_exact(s, if s.estimate.min_round_trip.is_finite() { s.estimate.min_round_trip } else { tp2 });
+        let bank = self.k_exact(
+            s,
+            if s.estimate.min_round_trip.is_finite() { s.estimate.min_round_trip } else { tp2 },
+        );
         let k = self.k_exact(s, tp2).max((bank - s.others_in_flight).ceil());
         (k as i32 + trial).max(1) as u32
     }
@@ -204,7 +209,10 @@
         // in the first minute of a day with low load. Upstreams that are not this proxy's own are excluded, as
         // the trials of several proxies would overlap there.
         self.servers.iter_mut().for_each(|s| s.trial = 0);
-        let own = |&i: &usize| self.servers[i].distance <= OWN_DISTANCE && self.is_representative(now, &self.servers[i]);
+        let own = |&i: &usize| {
+            self.servers[i].distance <= OWN_DISTANCE
+                && self.is_representative(now, &self.servers[i])
+        };
         let own: Vec<usize> = self.preference.iter().copied().filter(own).collect();
         if own.is_empty() {
             return;
@@ -286,9 +294,10 @@
         }
         let shut = |c: usize| {
             let open = |i: &&usize| self.open_to(Some(c), &self.servers[**i]);
-            let (all, shut) = self.preference.iter().filter(open).fold((0.0, 0.0), |(all, shut), &i| {
-                (all + 1.0, shut + f64::from(now < self.servers[i].by_class[c].until))
-            });
+            let (all, shut) =
+                self.preference.iter().filter(open).fold((0.0, 0.0), |(all, shut), &i| {
+                    (all + 1.0, shut + f64::from(now < self.servers[i].by_class[c].until))
+                });
             shut > all * PANIC_THRESHOLD
         };
         self.panic = (0..self.partition_of.len()).map(shut).collect();
@@ -298,13 +307,23 @@
             let k = |s: &Server| self.k_exact(s, self.tp2(s));
             let sum = |(u, sum, n), s: &Server| (u + 1.0, sum + k(s), n + self.n_rate(s));
             let (u, k, n) = self.servers.iter().filter(live).fold((0.0, 0.0, 0.0), sum);
-            let others_in_flight = |load: f64| (load * u - self.partitions[r].in_flight as f64).max(0.0);
-            let partition = CapacityPartition { others_in_flight: self.fleet.load.map(others_in_flight), n_per_time: n, ..self.partitions[r] };
+            let others_in_flight =
+                |load: f64| (load * u - self.partitions[r].in_flight as f64).max(0.0);
+            let partition = CapacityPartition {
+                others_in_flight: self.fleet.load.map(others_in_flight),
+                n_per_time: n,
+                ..self.partitions[r]
+            };
             let slots = self.share(&partition, k, n * (self.fleet.ts + self.fleet.max_wait));
-            self.partitions[r] = CapacityPartition { slots, even: k * self.proxy_share(), ..partition };
+            self.partitions[r] =
+                CapacityPartition { slots, even: k * self.proxy_share(), ..partition };
         }
         let (preference, servers) = (&mut self.preference, &self.servers);
-        let cost = |i: usize| (MIN_DISTANCE + servers[i].distance) * servers[i].estimate.slowness * servers[i].estimate.slowness;
+        let cost = |i: usize| {
+            (MIN_DISTANCE + servers[i].distance)
+                * servers[i].estimate.slowness
+                * servers[i].estimate.slowness
+        };
         preference.sort_by(|&a, &b| cost(a).total_cmp(&cost(b)));
         self.refresh_admission();
     }
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -20,7 +20,8 @@
         if kind == ListKind::Unavailable {
             let lost = std::mem::take(&mut self.list_calls.subscribed);
             self.list_calls.failures = (self.list_calls.failures + 1).min(3);
-            let wait = self.jitter(LIST_CALL_JITTER_SHARE * f64::from(1 << self.list_calls.failures));
+            let wait =
+                self.jitter(LIST_CALL_JITTER_SHARE * f64::from(1 << self.list_calls.failures));
             let most = if lost { self.settings.rules.drain_grace } else { MAX_LIST_CALL_DELAY };
             self.list_calls.next = now.plus(wait.min(most));
             return;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -21,7 +21,7 @@
 use crate::interface::*;
 use crate::state::*;
 use breaker::Breaker;
-use estimates::{Estimate, Fleet, Concurrency};
+use estimates::{Concurrency, Estimate, Fleet};
 
 /// Period of the sweep timer as a share of the shortest aim; short, so that queued requests are refused close
 /// to their time limit.
@@ -174,7 +174,8 @@
     /// Processes an event and appends the resulting actions in the order in which they must be carried out.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.started, true) {
-            self.list_calls.next = now.plus(self.jitter(LIST_CALL_JITTER_SHARE).min(MAX_LIST_CALL_DELAY));
+            self.list_calls.next =
+                now.plus(self.jitter(LIST_CALL_JITTER_SHARE).min(MAX_LIST_CALL_DELAY));
             self.arm_sweep_timer(now, actions);
         }
         match event {
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -32,7 +32,13 @@
 
 impl Balancer {
     /// Whether a request may be sent (again) to this upstream now. All sends are checked here.
-    pub(super) fn may_send(&self, now: Time, id: RequestId, e: &RequestState, server: usize) -> bool {
+    pub(super) fn may_send(
+        &self,
+        now: Time,
+        id: RequestId,
+        e: &RequestState,
+        server: usize,
+    ) -> bool {
         self.is_eligible(now, e, server)
             && self.is_next_for_key(now, id, e)
             && self.slow_start_allows(now, &self.servers[server])
@@ -56,7 +62,8 @@
             return false;
         }
         let there = |a: &Attempt| a.state == AttemptState::InFlight && a.server == server;
-        if e.has_in_flight() && (!limits.second_copies || e.coming || e.attempts.iter().any(there)) {
+        if e.has_in_flight() && (!limits.second_copies || e.coming || e.attempts.iter().any(there))
+        {
             return false;
         }
         match class.effect {
@@ -87,15 +94,20 @@
 
     pub(super) fn handle_outcome(&mut self, now: Time, a: Answer, actions: &mut Vec<Action>) {
         let Some(e) = self.requests.get_mut(&a.request) else { return };
-        let Some(attempt) = e.attempts.get_mut(a.attempt).filter(|t| t.state == AttemptState::InFlight) else {
+        let Some(attempt) =
+            e.attempts.get_mut(a.attempt).filter(|t| t.state == AttemptState::InFlight)
+        else {
             return;
         };
-        attempt.state = if a.outcome.never_ran() { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
+        attempt.state =
+            if a.outcome.never_ran() { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
         let (attempt, server) = (*attempt, attempt.server);
         e.body_consumed |= a.spent;
         let (class, order_key) = (e.class, e.order_key);
         let may_run = matches!(a.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
-        if let Some(key_queue) = order_key.filter(|_| may_run).and_then(|k| self.key_queues.get_mut(&k)) {
+        if let Some(key_queue) =
+            order_key.filter(|_| may_run).and_then(|k| self.key_queues.get_mut(&k))
+        {
             key_queue.blocked_until = now.plus(self.settings.rules.turn_gap);
         }
         self.learn(now, class, attempt, &a);
@@ -112,7 +124,9 @@
     pub(super) fn handle_body_complete(&mut self, now: Time, id: RequestId) {
         let Some(e) = self.requests.get_mut(&id) else { return };
         (e.coming, e.body_consumed) = (false, e.has_in_flight());
-        let Some(a) = e.attempts.iter_mut().find(|a| a.state == AttemptState::InFlight) else { return };
+        let Some(a) = e.attempts.iter_mut().find(|a| a.state == AttemptState::InFlight) else {
+            return;
+        };
         (a.sent, a.slot_freed) = (now, false);
         let server = a.server;
         self.count_in_flight(server, 1);
@@ -140,9 +154,11 @@
             let fits = self.n_rate(&self.servers[server]) * (self.fleet.ts + self.fleet.max_wait);
             let (free, report_weight) = self.fleet.free;
             let decay = 1.0 - MEAN_GAIN;
-            self.fleet.free = (free * decay + (1.0 - n / fits).max(0.0), report_weight * decay + 1.0);
+            self.fleet.free =
+                (free * decay + (1.0 - n / fits).max(0.0), report_weight * decay + 1.0);
             let s = &mut self.servers[server];
-            s.others_in_flight += ((n + 1.0 - f64::from(s.in_flight)).max(0.0) - s.others_in_flight) * TS_GAIN;
+            s.others_in_flight +=
+                ((n + 1.0 - f64::from(s.in_flight)).max(0.0) - s.others_in_flight) * TS_GAIN;
         }
         let mean = self.fleet.mean[class];
         let mean = if mean > 0.0 { mean } else { self.fleet.ts };
@@ -150,7 +166,8 @@
         let s = &mut self.servers[server];
         if attempt.second_copy_due && a.outcome != Outcome::Cancelled {
             let unanswered_share = &mut self.fleet.unanswered_share[class];
-            *unanswered_share += (f64::from(a.outcome != Outcome::Ok) - *unanswered_share) * TS_GAIN;
+            *unanswered_share +=
+                (f64::from(a.outcome != Outcome::Ok) - *unanswered_share) * TS_GAIN;
         }
         let already_learned = attempt.overdue && a.outcome == Outcome::Timeout;
         if !already_learned && (a.outcome != Outcome::Ok || !on_trial) {
@@ -187,7 +204,11 @@
             Outcome::Full if a.report.queue.is_none_or(|q| q >= 1.0) => SLOWNESS_MAX,
             _ => return,
         };
-        f.baseline_ts += if f.ts < f.baseline_ts { f.ts - f.baseline_ts } else { (f.ts - f.baseline_ts) * BASELINE_TS_GAIN };
+        f.baseline_ts += if f.ts < f.baseline_ts {
+            f.ts - f.baseline_ts
+        } else {
+            (f.ts - f.baseline_ts) * BASELINE_TS_GAIN
+        };
         // Failure: the limit fell with every heavy request and rose only when reached. Where only bursts
         // reach it, it stayed at its minimum, and proxies refused requests while upstreams were idle.
         let idle = self.partitions[0].in_flight as f64 + 1.0 < self.partitions[0].even;
@@ -199,7 +220,9 @@
         let full = if outcome == Outcome::Ok { 1.0 } else { REJECTION_DECREASE };
         let fall = OVERCOMMIT_DECREASE * (even / FEW_UPSTREAMS).max(1.0) * full;
         f.overcommit *= 1.0 + OVERCOMMIT_GAIN * if crowded { -fall } else { 1.0 };
-        f.overcommit = f.overcommit.clamp(BASE_OVERCOMMIT, BASE_OVERCOMMIT.max(f64::from(self.settings.balancers)));
+        f.overcommit = f
+            .overcommit
+            .clamp(BASE_OVERCOMMIT, BASE_OVERCOMMIT.max(f64::from(self.settings.balancers)));
     }
 
     /// When an attempt is overdue, well past its class's usual latency; and when a second copy must be sent
@@ -224,17 +247,23 @@
     pub(super) fn check_overdue(&mut self, now: Time) {
         for (id, n) in std::mem::take(&mut self.in_flight_attempts) {
             let Some(e) = self.requests.get(&id) else { continue };
-            let Some(a) = e.attempts.get(n).filter(|a| a.state == AttemptState::InFlight).copied() else {
+            let Some(a) = e.attempts.get(n).filter(|a| a.state == AttemptState::InFlight).copied()
+            else {
                 continue;
             };
             self.in_flight_attempts.push((id, n));
             let (late_at, again_at) = self.overdue_at(e, &a);
             let past = |at| !e.coming && now >= at;
-            let (late, second_copy_due) = (a.overdue || past(late_at), a.second_copy_due || past(again_at));
+            let (late, second_copy_due) =
+                (a.overdue || past(late_at), a.second_copy_due || past(again_at));
             let partition = &self.partitions[self.partition_of[e.class]];
             let idle = partition.queued == 0 && (partition.in_flight as f64) < partition.slots;
             let likely = self.fleet.unanswered_share[e.class] > MIN_UNANSWERED_SHARE;
-            let again = second_copy_due && !a.second_copy_due && likely && idle && self.second_copy_budget >= 1.0;
+            let again = second_copy_due
+                && !a.second_copy_due
+                && likely
+                && idle
+                && self.second_copy_budget >= 1.0;
             let again = again && !e.ended && !e.in_queue && now < e.queue_until;
             let again = again && self.preference.iter().any(|&i| self.is_eligible(now, e, i));
             let (class, s) = (e.class, &mut self.servers[a.server]);
@@ -256,13 +285,19 @@
                 self.count_in_flight(a.server, -1);
             }
             if let Some(a) = self.requests.get_mut(&id).and_then(|e| e.attempts.get_mut(n)) {
-                (a.overdue, a.second_copy_due, a.slot_freed) = (late, second_copy_due, a.slot_freed || lost);
+                (a.overdue, a.second_copy_due, a.slot_freed) =
+                    (late, second_copy_due, a.slot_freed || lost);
             }
         }
     }
 
     /// After an unsuccessful attempt: queues the request again if it may still be sent, else ends it.
-    pub(super) fn requeue_or_give_up(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
+    pub(super) fn requeue_or_give_up(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(e) = self.requests.get(&id) else { return };
         if e.ended {
             return self.end(id);
@@ -290,8 +325,9 @@
 
     /// Removes requests that have exceeded their queueing time.
     pub(super) fn expire_queued(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let late =
-            |id: &&RequestId| self.requests.get(id).is_some_and(|e| e.in_queue && now >= e.queue_until);
+        let late = |id: &&RequestId| {
+            self.requests.get(id).is_some_and(|e| e.in_queue && now >= e.queue_until)
+        };
         let late: Vec<RequestId> = self.queue.iter().filter(late).copied().collect();
         for id in late {
             // A request with an attempt in flight was queued for a second copy; the first may still be
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -45,7 +45,11 @@
         let rate = if rate > 0.0 { rate } else { min_rate };
         // Failure: a fleet that grew fourfold kept refusing requests: the rate to each new upstream assumed
         // an even spread over all proxies, but only the proxies that own it sent to it.
-        let owner = if s.distance <= OWN_DISTANCE { multiple * OWNER_PACE_SHARE * self.concurrency(s) / f.ts } else { 0.0 };
+        let owner = if s.distance <= OWN_DISTANCE {
+            multiple * OWNER_PACE_SHARE * self.concurrency(s) / f.ts
+        } else {
+            0.0
+        };
         rate.max(owner)
     }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -102,7 +102,12 @@
 }
 
 impl RequestState {
-    pub(crate) fn new(r: &Request, worth_until: Time, queue_until: Time, order_key: Option<u64>) -> Self {
+    pub(crate) fn new(
+        r: &Request,
+        worth_until: Time,
+        queue_until: Time,
+        order_key: Option<u64>,
+    ) -> Self {
         Self {
             class: r.class,
             drop_dead: r.drop_dead,
@@ -144,7 +149,8 @@
                 of.map(|o| (&o.zones, &o.kinds)).unwrap_or((&None, &None)) == (&c.zones, &c.kinds)
             };
             partition_of.push(partitions.iter().position(like).unwrap_or_else(|| {
-                partitions.push(CapacityPartition { class: Some(i), ..CapacityPartition::default() });
+                partitions
+                    .push(CapacityPartition { class: Some(i), ..CapacityPartition::default() });
                 partitions.len() - 1
             }));
         }
