--- a/benches/recovery.rs
+++ b/benches/recovery.rs
@@ -15,7 +15,7 @@
 use hollowpaddle::discovery::member::{Member, Phase};
 use hollowpaddle::replica::command::Command;
 use hollowpaddle::replica::core::Replica;
-use hollowpaddle::replica::storage::{Kept, Record};
+use hollowpaddle::replica::storage::{RaftStorage, Record};
 use hollowpaddle::store::record::{self, Read};
 use hollowpaddle::store::{Log, Recovery};
 
@@ -38,7 +38,7 @@
 
 /// An instance that is alone and has carried out so many writes, and the records it kept of them.
 fn written(writes: u64) -> (Replica, Vec<Vec<u8>>) {
-    let kept = Kept::new(vec![1]);
+    let kept = RaftStorage::new(vec![1]);
     let again = Duration::from_secs(1);
     let mut replica = Replica::new::<Infallible>(1, kept, 1024, 1, again).expect("starts");
     let mut records = Vec::new();
@@ -47,7 +47,7 @@
             records.extend(batch.iter().map(|r| postcard::to_stdvec(r).expect("a record")));
             Ok::<_, Infallible>(())
         };
-        replica.turn(Duration::ZERO, keep).expect("goes on");
+        replica.process_ready(Duration::ZERO, keep).expect("goes on");
     };
     replica.campaign();
     turn(&mut replica);
@@ -115,7 +115,7 @@
     group.bench_function("every record of that log", |b| {
         b.iter(|| {
             let (mut at, mut count) = (0, 0);
-            while let Read::Whole { next, .. } = record::read(&data, at) {
+            while let Read::Complete { next, .. } = record::read(&data, at) {
                 (at, count) = (next, count + 1);
             }
             assert_eq!(count, records.len());
--- a/src/discovery/keeper.rs
+++ b/src/discovery/keeper.rs
@@ -12,7 +12,7 @@
 use super::kept::List;
 use super::member::Message;
 use crate::store::StoreError;
-use crate::store::log::write_whole;
+use crate::store::log::write_atomically;
 use crate::store::record::{self, Read};
 
 /// The file's name.
@@ -56,7 +56,7 @@
     };
     let spoilt = |cause: String| KeptError::Spoilt { path: path.clone(), cause };
     match record::read(&data, 0) {
-        Read::Whole { payload, next, .. } if next == data.len() => {
+        Read::Complete { payload, next, .. } if next == data.len() => {
             let kept: List = postcard::from_bytes(payload).map_err(|e| spoilt(e.to_string()))?;
             Ok(Some(kept.into()))
         }
@@ -69,7 +69,7 @@
     let mut data = Vec::new();
     let payload = postcard::to_stdvec(&List::from(list)).unwrap_or_default();
     record::encode(list.revision, &payload, &mut data);
-    write_whole(&dir.join(FILE), &data)
+    write_atomically(&dir.join(FILE), &data)
 }
 
 /// Waits for news, or for the time to write once more what could not be kept; `None` once there will be no more news.
--- a/src/discovery/management.rs
+++ b/src/discovery/management.rs
@@ -35,7 +35,7 @@
 use crate::figures::Text;
 use crate::lease::table::{LeaseCommand, TTL_MS, Token};
 use crate::replica::command::{Command, Fence, Outcome};
-use crate::replica::host::{FORMS, Host, PEER_BYTES, WriteError};
+use crate::replica::host::{FORMS, Host, PEER_CALL_MAX_BYTES, WriteError};
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -88,14 +88,14 @@
 
     /// Answers calls until the task is dropped.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
-        let limit = |path: &str| if path == "/peer/messages" { PEER_BYTES } else { LIMIT };
+        let limit = |path: &str| if path == "/peer/messages" { PEER_CALL_MAX_BYTES } else { LIMIT };
         calls::serve(listener, limit, move |call| self.clone().answer(call)).await;
     }
 
     async fn answer(self: Rc<Self>, call: Call) -> Reply {
         let path = call.path.as_str();
         if path == "/peer/messages" && call.method == Method::POST {
-            return match self.host.take(&call.body) {
+            return match self.host.receive_messages(&call.body) {
                 Ok(()) => calls::text(StatusCode::OK, "application/json", FORMS.into()),
                 Err(cause) => error(StatusCode::BAD_REQUEST, cause),
             };
@@ -128,8 +128,8 @@
     }
 
     fn read(&self, path: &str) -> Reply {
-        let (id, leader, term) = self.host.standing();
-        let (trouble, counts) = (self.host.trouble(), &self.host.counts);
+        let (id, leader, term) = self.host.raft_status();
+        let (trouble, counts) = (self.host.write_failure(), &self.host.counts);
         match path {
             "/admin/health" => {
                 let ready = self.host.ready();
@@ -179,7 +179,7 @@
             "replica_trouble",
             "Whether nothing can be kept",
             &[],
-            u64::from(self.host.trouble().is_some()),
+            u64::from(self.host.write_failure().is_some()),
         );
         text.counter("replica_writes", "Writes acknowledged here", &[], counts.writes.get());
         text.counter("replica_batches", "Batches kept on disk", &[], counts.batches.get());
--- a/src/lease/client.rs
+++ b/src/lease/client.rs
@@ -19,9 +19,9 @@
     holder: String,
     ttl: Duration,
     instances: Rc<Instances>,
-    state: RefCell<Holder>,
+    claim: RefCell<Holder>,
     start: Instant,
-    held: watch::Sender<Option<Token>>,
+    token_sender: watch::Sender<Option<Token>>,
     /// Times this process was granted the duty.
     pub grants: Cell<u64>,
 }
@@ -35,9 +35,9 @@
             holder: holder.to_owned(),
             ttl,
             instances,
-            state: RefCell::new(Holder::new(ttl)),
+            claim: RefCell::new(Holder::new(ttl)),
             start: Instant::now(),
-            held: watch::Sender::new(None),
+            token_sender: watch::Sender::new(None),
             grants: Cell::new(0),
         })
     }
@@ -45,22 +45,22 @@
     /// The token, while the duty may be done. Ask right before every write, and send it with the write: a process
     /// that was paused in between is refused by it.
     pub fn token(&self) -> Option<Token> {
-        self.state.borrow().token(self.start.elapsed())
+        self.claim.borrow().token(self.start.elapsed())
     }
 
     /// Follows grants and losses; the value may lag behind [`Duty::token`], which decides.
     pub fn watch(&self) -> watch::Receiver<Option<Token>> {
-        self.held.subscribe()
+        self.token_sender.subscribe()
     }
 
     /// Renewals that were granted, and grants that were lost, since the start.
     pub fn counts(&self) -> (u64, u64) {
-        let state = self.state.borrow();
-        (state.renewals, state.lost)
+        let claim = self.claim.borrow();
+        (claim.renewals, claim.lost)
     }
 
-    fn lost(&self, token: Token, cause: &str) {
-        self.held.send_replace(None);
+    fn report_loss(&self, token: Token, cause: &str) {
+        self.token_sender.send_replace(None);
         tracing::warn!(duty = self.name, lease = token, cause, "duty lost");
     }
 
@@ -68,72 +68,72 @@
     pub async fn run(self: Rc<Self>) {
         loop {
             let now = self.start.elapsed();
-            let step = self.state.borrow_mut().step(now);
+            let step = self.claim.borrow_mut().step(now);
             match step {
                 Step::Wait(until) => sleep_until(self.start + until).await,
-                Step::Stop(token) => self.lost(token, "no renewal in time"),
+                Step::Stop(token) => self.report_loss(token, "no renewal in time"),
                 Step::Acquire => self.acquire(now).await,
                 Step::Renew(token) => self.renew(token, now).await,
             }
         }
     }
 
-    async fn acquire(&self, asked: Duration) {
+    async fn acquire(&self, sent_at: Duration) {
         let ttl_ms = self.ttl.as_millis() as u64;
         let body = json!({"duty": self.name, "holder": self.holder, "ttl_ms": ttl_ms});
-        let patience = self.state.borrow().patience();
-        let answer = self.instances.post("/admin/leases/acquire", &body, patience).await;
+        let call_timeout = self.claim.borrow().call_timeout();
+        let answer = self.instances.post("/admin/leases/acquire", &body, call_timeout).await;
         let now = self.start.elapsed();
-        let mut state = self.state.borrow_mut();
+        let mut claim = self.claim.borrow_mut();
         match answer {
             Ok((StatusCode::OK, value)) => {
                 let Some(token) = value["grant"]["token"].as_u64() else {
-                    state.unanswered(now);
+                    claim.unanswered(now);
                     return;
                 };
-                state.granted(token, asked);
-                if state.token(now).is_some() {
+                claim.granted(token, sent_at);
+                if claim.token(now).is_some() {
                     self.grants.set(self.grants.get() + 1);
-                    self.held.send_replace(Some(token));
+                    self.token_sender.send_replace(Some(token));
                     tracing::info!(duty = self.name, lease = token, "duty held");
                 }
             }
             Ok((status, value)) => {
                 tracing::debug!(duty = self.name, %status, answer = %value, "not granted");
-                state.refused(now);
+                claim.refused(now);
             }
             Err(cause) => {
                 tracing::debug!(duty = self.name, %cause, "not granted");
-                state.unanswered(now);
+                claim.unanswered(now);
             }
         }
     }
 
     /// A renewal may take no longer than the lease lasts: the holder must be back in time to stop.
-    async fn renew(&self, token: Token, asked: Duration) {
+    async fn renew(&self, token: Token, sent_at: Duration) {
         let body = json!({"duty": self.name, "token": token});
-        let (patience, until) = {
-            let state = self.state.borrow();
-            (state.patience(), state.until().unwrap_or(asked))
+        let (call_timeout, until) = {
+            let claim = self.claim.borrow();
+            (claim.call_timeout(), claim.until().unwrap_or(sent_at))
         };
-        let patience = patience.min(until.saturating_sub(asked));
-        let answer = self.instances.post("/admin/leases/renew", &body, patience).await;
+        let call_timeout = call_timeout.min(until.saturating_sub(sent_at));
+        let answer = self.instances.post("/admin/leases/renew", &body, call_timeout).await;
         let now = self.start.elapsed();
-        let mut state = self.state.borrow_mut();
+        let mut claim = self.claim.borrow_mut();
         match answer {
-            Ok((StatusCode::OK, _)) => state.renewed(asked),
+            Ok((StatusCode::OK, _)) => claim.renewed(sent_at),
             Ok((StatusCode::CONFLICT, value)) => {
-                if let Some(token) = state.refused(now) {
-                    self.lost(token, value["error"].as_str().unwrap_or("refused"));
+                if let Some(token) = claim.refused(now) {
+                    self.report_loss(token, value["error"].as_str().unwrap_or("refused"));
                 }
             }
             Ok((status, _)) => {
                 tracing::warn!(duty = self.name, lease = token, %status, "renewal");
-                state.unanswered(now);
+                claim.unanswered(now);
             }
             Err(cause) => {
                 tracing::warn!(duty = self.name, lease = token, %cause, "renewal");
-                state.unanswered(now);
+                claim.unanswered(now);
             }
         }
     }
@@ -141,8 +141,8 @@
     /// Gives the duty back, so that the next holder need not wait for the TTL.
     pub async fn release(&self) {
         let Some(token) = self.token() else { return };
-        self.state.borrow_mut().released(self.start.elapsed());
-        self.held.send_replace(None);
+        self.claim.borrow_mut().released(self.start.elapsed());
+        self.token_sender.send_replace(None);
         let body = json!({"duty": self.name, "token": token});
         let _ = self.instances.post("/admin/leases/release", &body, self.ttl / 3).await;
         tracing::info!(duty = self.name, lease = token, "duty released");
--- a/src/lease/expiry.rs
+++ b/src/lease/expiry.rs
@@ -9,33 +9,33 @@
 /// When each key lapses, on the leader's own monotonic clock.
 #[derive(Debug, Default)]
 pub struct Expiry<K: Ord + Clone> {
-    due: BTreeMap<K, Duration>,
+    deadlines: BTreeMap<K, Duration>,
 }
 
 impl<K: Ord + Clone> Expiry<K> {
     /// Nothing watched yet.
     pub fn new() -> Self {
-        Self { due: BTreeMap::new() }
+        Self { deadlines: BTreeMap::new() }
     }
 
     /// The key was granted or renewed at `now`.
     pub fn renewed(&mut self, key: K, now: Duration, ttl: Duration) {
-        self.due.insert(key, now + ttl);
+        self.deadlines.insert(key, now + ttl);
     }
 
     /// The key is not watched any more.
-    pub fn forget(&mut self, key: &K) {
-        self.due.remove(key);
+    pub fn remove(&mut self, key: &K) {
+        self.deadlines.remove(key);
     }
 
     /// The keys whose TTL has passed by `now`. Each is told again `again` later, should it still be watched:
     /// what was proposed of it may have been lost.
-    pub fn lapsed(&mut self, now: Duration, again: Duration) -> Vec<K> {
-        let lapsed: Vec<K> =
-            self.due.iter().filter(|(_, at)| **at <= now).map(|(key, _)| key.clone()).collect();
-        for key in &lapsed {
-            self.due.insert(key.clone(), now + again);
+    pub fn expired(&mut self, now: Duration, retry_after: Duration) -> Vec<K> {
+        let expired: Vec<K> =
+            self.deadlines.iter().filter(|(_, at)| **at <= now).map(|(key, _)| key.clone()).collect();
+        for key in &expired {
+            self.deadlines.insert(key.clone(), now + retry_after);
         }
-        lapsed
+        expired
     }
 }
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -6,7 +6,7 @@
 //! last are pure.
 //!
 //! **Why at most one holds.** A grant or renewal counts for the holder from the moment it *asked*, for the TTL
-//! less [`holder::DRIFT`]; the leader counts the whole TTL from the moment it *applied* it, or from its own
+//! less [`holder::CLOCK_DRIFT_DIVISOR`]; the leader counts the whole TTL from the moment it *applied* it, or from its own
 //! election where that is later. Between two machines whose clocks run at rates within that bound of each
 //! other, the holder has stopped before the leader lets go. No clock is compared with another.
 //!
--- a/src/lease/table.rs
+++ b/src/lease/table.rs
@@ -97,9 +97,9 @@
 /// The longest TTL, in milliseconds, and the shortest.
 pub const TTL_MS: std::ops::RangeInclusive<u64> = 50..=3_600_000;
 /// The longest name of a duty or a holder, in bytes.
-pub const LONGEST_NAME: usize = 256;
+pub const MAX_NAME_BYTES: usize = 256;
 /// The most duties a table holds; a released one keeps its place, for its highest token must stay known.
-pub const MOST_DUTIES: usize = 10_000;
+pub const MAX_DUTIES: usize = 10_000;
 
 /// All duties, and the last token granted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -127,18 +127,18 @@
         match command {
             LeaseCommand::Acquire { duty, holder, ttl_ms } => self.acquire(duty, holder, ttl_ms),
             LeaseCommand::Renew { duty, token } => {
-                let grant = self.live(&duty, token)?.grant.as_mut();
+                let grant = self.live_duty(&duty, token)?.grant.as_mut();
                 Ok(grant.map(|grant| {
                     grant.renewals += 1;
                     grant.clone()
                 }))
             }
             LeaseCommand::Release { duty, token } => {
-                self.live(&duty, token)?.grant = None;
+                self.live_duty(&duty, token)?.grant = None;
                 Ok(None)
             }
             LeaseCommand::Expire { duty, token, renewals } => {
-                let duty = self.live(&duty, token)?;
+                let duty = self.live_duty(&duty, token)?;
                 if duty.grant.as_ref().is_some_and(|g| g.renewals == renewals) {
                     duty.grant = None;
                     duty.lost += 1;
@@ -154,32 +154,32 @@
         holder: String,
         ttl_ms: u64,
     ) -> Result<Option<Grant>, Refusal> {
-        let bad = |name: &str| name.is_empty() || name.len() > LONGEST_NAME;
-        if bad(&duty) || bad(&holder) {
-            return Err(Refusal::Invalid(format!("names have 1 to {LONGEST_NAME} bytes")));
+        let invalid_length = |name: &str| name.is_empty() || name.len() > MAX_NAME_BYTES;
+        if invalid_length(&duty) || invalid_length(&holder) {
+            return Err(Refusal::Invalid(format!("names have 1 to {MAX_NAME_BYTES} bytes")));
         }
         if !TTL_MS.contains(&ttl_ms) {
             return Err(Refusal::Invalid(format!("ttl_ms is not within {TTL_MS:?}")));
         }
-        if self.duties.len() >= MOST_DUTIES && !self.duties.contains_key(&duty) {
-            return Err(Refusal::Invalid(format!("{MOST_DUTIES} duties at most")));
+        if self.duties.len() >= MAX_DUTIES && !self.duties.contains_key(&duty) {
+            return Err(Refusal::Invalid(format!("{MAX_DUTIES} duties at most")));
         }
-        let at = self.duties.entry(duty).or_default();
-        if let Some(Grant { holder: other, token, .. }) = &at.grant
+        let entry = self.duties.entry(duty).or_default();
+        if let Some(Grant { holder: other, token, .. }) = &entry.grant
             && *other != holder
         {
             return Err(Refusal::Held { holder: other.clone(), token: *token });
         }
         self.last += 1;
         let grant = Grant { holder, token: self.last, ttl_ms, renewals: 0 };
-        at.lost += u64::from(at.grant.is_some());
-        at.grants += 1;
-        at.highest = self.last;
-        at.grant = Some(grant.clone());
+        entry.lost += u64::from(entry.grant.is_some());
+        entry.grants += 1;
+        entry.highest = self.last;
+        entry.grant = Some(grant.clone());
         Ok(Some(grant))
     }
 
-    fn live(&mut self, duty: &str, token: Token) -> Result<&mut Duty, Refusal> {
+    fn live_duty(&mut self, duty: &str, token: Token) -> Result<&mut Duty, Refusal> {
         self.check(duty, token)?;
         self.duties.get_mut(duty).ok_or(Refusal::Stale { token, highest: 0 })
     }
@@ -190,11 +190,11 @@
     /// # Errors
     /// [`Refusal::Stale`].
     pub fn check(&self, duty: &str, token: Token) -> Result<(), Refusal> {
-        let at = self.duties.get(duty);
-        if at.and_then(|d| d.grant.as_ref()).is_some_and(|g| g.token == token) {
+        let entry = self.duties.get(duty);
+        if entry.and_then(|d| d.grant.as_ref()).is_some_and(|g| g.token == token) {
             return Ok(());
         }
-        Err(Refusal::Stale { token, highest: at.map_or(0, |d| d.highest) })
+        Err(Refusal::Stale { token, highest: entry.map_or(0, |d| d.highest) })
     }
 }
 
--- a/src/replica/command.rs
+++ b/src/replica/command.rs
@@ -103,8 +103,8 @@
 }
 
 impl From<Form> for Command {
-    fn from(kept: Form) -> Self {
-        match kept {
+    fn from(form: Form) -> Self {
+        match form {
             Form::SeedV1 { revision, members } => {
                 Self::Seed { revision, members: members.into_iter().map(Member::from).collect() }
             }
--- a/src/replica/core.rs
+++ b/src/replica/core.rs
@@ -9,7 +9,7 @@
 
 use super::command::{Command, Outcome};
 use super::machine::Machine;
-use super::storage::{DecodeError, Kept, Record};
+use super::storage::{DecodeError, RaftStorage, Record};
 use crate::lease::expiry::Expiry;
 use crate::lease::table::{LeaseCommand, Token};
 
@@ -38,7 +38,7 @@
     /// Keeping failed. The same records are tried again at the next turn; nothing that depends on them is sent
     /// before.
     #[error("keep: {0}")]
-    Keep(E),
+    Persist(E),
     /// An error before was final.
     #[error("stopped")]
     Stopped,
@@ -46,7 +46,7 @@
 
 /// Why a proposal was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum NotTaken {
+pub enum ProposalRejected {
     /// Another leads, if anyone does; it is to be asked.
     #[error("not the leader")]
     NotLeader(Option<u64>),
@@ -57,7 +57,7 @@
 
 /// What a turn has to send and tell.
 #[derive(Debug, Default)]
-pub struct Turn {
+pub struct ReadySet {
     /// To other instances, `to` says which.
     pub messages: Vec<Message>,
     /// Outcomes of commands in the order of the log, of this instance's proposals and others'.
@@ -70,24 +70,24 @@
 
 /// A lapse the leader looks out for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Watched {
+enum ExpiryKey {
     Duty(String),
     Member(String),
 }
 
 /// One instance.
 pub struct Replica {
-    raft: RawNode<Kept>,
+    raft: RawNode<RaftStorage>,
     machine: Machine,
-    expiry: Expiry<Watched>,
+    expiry: Expiry<ExpiryKey>,
     /// Whether this instance has led since `expiry` was started anew.
     leading: bool,
     leader: u64,
     /// What could not be kept yet.
-    owed: Option<raft::Ready>,
+    unpersisted: Option<raft::Ready>,
     /// Whether an error was final: what was decided could not be carried out, and nothing after it may be.
     stopped: bool,
-    again: Duration,
+    proposal_retry: Duration,
     proposals: u64,
     nonce: u64,
 }
@@ -100,12 +100,12 @@
     /// [`ReplicaError::Decode`] and [`ReplicaError::Raft`].
     pub fn new<E: std::error::Error>(
         id: u64,
-        kept: Kept,
+        storage: RaftStorage,
         history: usize,
         nonce: u64,
-        again: Duration,
+        proposal_retry: Duration,
     ) -> Result<Self, ReplicaError<E>> {
-        let (applied, state) = kept.state();
+        let (applied, state) = storage.state();
         let machine = match applied {
             0 => Machine::new(history),
             _ => postcard::from_bytes(state).map_err(DecodeError::from)?,
@@ -123,16 +123,16 @@
             ..raft::Config::default()
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let raft = RawNode::new(&config, kept, &logger)?;
+        let raft = RawNode::new(&config, storage, &logger)?;
         Ok(Self {
             raft,
             machine,
             expiry: Expiry::new(),
             leading: false,
             leader: 0,
-            owed: None,
+            unpersisted: None,
             stopped: false,
-            again,
+            proposal_retry,
             proposals: 0,
             nonce,
         })
@@ -171,17 +171,17 @@
     /// One tick of the election clock has passed; the leader looks for what has lapsed by `now`, on its own
     /// monotonic clock.
     pub fn tick(&mut self, now: Duration) {
-        if self.owed.is_some() || self.stopped {
+        if self.unpersisted.is_some() || self.stopped {
             return;
         }
         self.raft.tick();
         if !self.leading {
             return;
         }
-        for lapsed in self.expiry.lapsed(now, self.again) {
-            let command = match lapsed {
-                Watched::Member(id) => Command::Lapse { id },
-                Watched::Duty(duty) => {
+        for key in self.expiry.expired(now, self.proposal_retry) {
+            let command = match key {
+                ExpiryKey::Member(id) => Command::Lapse { id },
+                ExpiryKey::Duty(duty) => {
                     let grant = self.machine.leases().duties().get(&duty);
                     let Some(grant) = grant.and_then(|d| d.grant.as_ref()) else { continue };
                     let (token, renewals) = (grant.token, grant.renewals);
@@ -196,14 +196,14 @@
     /// again once that is decided.
     ///
     /// # Errors
-    /// [`NotTaken`] where this instance does not lead.
-    pub fn renew_member(&mut self, id: &str, now: Duration) -> Result<bool, NotTaken> {
+    /// [`ProposalRejected`] where this instance does not lead.
+    pub fn renew_member(&mut self, id: &str, now: Duration) -> Result<bool, ProposalRejected> {
         if !self.leads() || !self.leading {
-            return Err(NotTaken::NotLeader(self.leader()));
+            return Err(ProposalRejected::NotLeader(self.leader()));
         }
         let Some(session) = self.machine.sessions().get(id).copied() else { return Ok(false) };
         let ttl = Duration::from_millis(session.ttl_ms);
-        self.expiry.renewed(Watched::Member(id.to_owned()), now, ttl);
+        self.expiry.renewed(ExpiryKey::Member(id.to_owned()), now, ttl);
         if session.lapsed {
             self.propose(&Command::Revive { id: id.to_owned() })?;
         }
@@ -214,20 +214,20 @@
     /// the leader changes before a majority has it, and then it may or may not be carried out.
     ///
     /// # Errors
-    /// [`NotTaken`]: it will not be carried out.
-    pub fn propose(&mut self, command: &Command) -> Result<ProposalId, NotTaken> {
-        if self.owed.is_some() || self.stopped {
-            return Err(NotTaken::Busy);
+    /// [`ProposalRejected`]: it will not be carried out.
+    pub fn propose(&mut self, command: &Command) -> Result<ProposalId, ProposalRejected> {
+        if self.unpersisted.is_some() || self.stopped {
+            return Err(ProposalRejected::Busy);
         }
         if !self.leads() {
-            return Err(NotTaken::NotLeader(self.leader()));
+            return Err(ProposalRejected::NotLeader(self.leader()));
         }
         self.proposals += 1;
         let mut id = ProposalId::default();
         id[..8].copy_from_slice(&self.nonce.to_le_bytes());
         id[8..].copy_from_slice(&self.proposals.to_le_bytes());
-        let data = postcard::to_stdvec(command).map_err(|_| NotTaken::Busy)?;
-        self.raft.propose(id.to_vec(), data).map_err(|_| NotTaken::Busy)?;
+        let data = postcard::to_stdvec(command).map_err(|_| ProposalRejected::Busy)?;
+        self.raft.propose(id.to_vec(), data).map_err(|_| ProposalRejected::Busy)?;
         Ok(id)
     }
 
@@ -252,7 +252,7 @@
                 message.commit
             ));
         }
-        if self.owed.is_some() {
+        if self.unpersisted.is_some() {
             return Err("the disk takes nothing".into());
         }
         if self.stopped {
@@ -265,77 +265,77 @@
     /// the records are on disk.
     ///
     /// # Errors
-    /// [`ReplicaError::Keep`] may be tried again; the others are final: an entry that was decided and can't be read
+    /// [`ReplicaError::Persist`] may be tried again; the others are final: an entry that was decided and can't be read
     /// here (a later version's) must not be passed over, or this instance would tell another list under the same
     /// revisions. Started again as a version that reads it, it goes on from there.
-    pub fn turn<E: std::error::Error>(
+    pub fn process_ready<E: std::error::Error>(
         &mut self,
         now: Duration,
-        keep: impl FnMut(&[Record]) -> Result<(), E>,
-    ) -> Result<Turn, ReplicaError<E>> {
+        persist: impl FnMut(&[Record]) -> Result<(), E>,
+    ) -> Result<ReadySet, ReplicaError<E>> {
         if self.stopped {
             return Err(ReplicaError::Stopped);
         }
-        let turn = self.go_on(now, keep);
-        self.stopped = matches!(&turn, Err(error) if !matches!(error, ReplicaError::Keep(_)));
-        turn
+        let ready_set = self.persist_and_apply(now, persist);
+        self.stopped = matches!(&ready_set, Err(error) if !matches!(error, ReplicaError::Persist(_)));
+        ready_set
     }
 
-    fn go_on<E: std::error::Error>(
+    fn persist_and_apply<E: std::error::Error>(
         &mut self,
         now: Duration,
-        mut keep: impl FnMut(&[Record]) -> Result<(), E>,
-    ) -> Result<Turn, ReplicaError<E>> {
-        let mut turn = Turn::default();
+        mut persist: impl FnMut(&[Record]) -> Result<(), E>,
+    ) -> Result<ReadySet, ReplicaError<E>> {
+        let mut ready_set = ReadySet::default();
         loop {
-            let mut ready = match self.owed.take() {
+            let mut ready = match self.unpersisted.take() {
                 Some(ready) => ready,
                 None if self.raft.has_ready() => self.raft.ready(),
                 None => break,
             };
-            let records = Kept::records(ready.snapshot(), ready.entries(), ready.hs())?;
+            let records = RaftStorage::records(ready.snapshot(), ready.entries(), ready.hs())?;
             if !records.is_empty() {
-                if let Err(error) = keep(&records) {
-                    self.owed = Some(ready);
-                    return Err(ReplicaError::Keep(error));
+                if let Err(error) = persist(&records) {
+                    self.unpersisted = Some(ready);
+                    return Err(ReplicaError::Persist(error));
                 }
                 for record in &records {
-                    self.raft.mut_store().take(record)?;
+                    self.raft.mut_store().apply_record(record)?;
                 }
             }
-            turn.messages.extend(ready.take_messages());
+            ready_set.messages.extend(ready.take_messages());
             if !ready.snapshot().is_empty() {
                 self.machine =
                     postcard::from_bytes(ready.snapshot().get_data()).map_err(DecodeError::from)?;
             }
-            self.apply(ready.take_committed_entries(), now, &mut turn)?;
-            turn.messages.extend(ready.take_persisted_messages());
-            let mut light = self.raft.advance(ready);
-            if let Some(commit) = light.commit_index() {
+            self.apply(ready.take_committed_entries(), now, &mut ready_set)?;
+            ready_set.messages.extend(ready.take_persisted_messages());
+            let mut light_ready = self.raft.advance(ready);
+            if let Some(commit) = light_ready.commit_index() {
                 self.raft.mut_store().commit_to(commit);
             }
-            turn.messages.extend(light.take_messages());
-            self.apply(light.take_committed_entries(), now, &mut turn)?;
+            ready_set.messages.extend(light_ready.take_messages());
+            self.apply(light_ready.take_committed_entries(), now, &mut ready_set)?;
             self.raft.advance_apply();
         }
-        self.lead(now);
+        self.update_leadership(now);
         let leader = self.raft.raft.leader_id;
-        turn.leader_changed = std::mem::replace(&mut self.leader, leader) != leader;
-        Ok(turn)
+        ready_set.leader_changed = std::mem::replace(&mut self.leader, leader) != leader;
+        Ok(ready_set)
     }
 
     fn apply(
         &mut self,
         entries: Vec<Entry>,
         now: Duration,
-        turn: &mut Turn,
+        ready_set: &mut ReadySet,
     ) -> Result<(), DecodeError> {
         for entry in entries {
             if entry.data.is_empty() {
                 continue; // A leader's first entry of its term.
             }
             let command: Command = postcard::from_bytes(&entry.data)?;
-            let touched = self.leading.then(|| touched(&command)).flatten();
+            let renewed_key = self.leading.then(|| expiry_key(&command)).flatten();
             let expires = match &command {
                 Command::Lease(LeaseCommand::Expire { duty, token, .. }) => {
                     Some((duty.clone(), *token))
@@ -344,39 +344,39 @@
             };
             let outcome = self.machine.apply(command);
             // What was refused, and an expiry that a renewal forestalled, must not lengthen a lease.
-            let moot = match &outcome {
+            let no_effect = match &outcome {
                 Outcome::Refused(_) => true,
                 Outcome::Grant(grant) => expires.is_some() && grant.is_some(),
                 _ => false,
             };
-            turn.expired.extend(expires.filter(|_| !moot && self.leading));
-            if let Some(key) = touched.filter(|_| !moot) {
-                self.watch(key, now);
+            ready_set.expired.extend(expires.filter(|_| !no_effect && self.leading));
+            if let Some(key) = renewed_key.filter(|_| !no_effect) {
+                self.track_expiry(key, now);
             }
             if let Ok(id) = ProposalId::try_from(&entry.context[..]) {
-                turn.outcomes.push((id, outcome));
+                ready_set.outcomes.push((id, outcome));
             }
         }
         Ok(())
     }
 
     /// A lease or member was decided on: its TTL runs from now, or there is none any more.
-    fn watch(&mut self, key: Watched, now: Duration) {
+    fn track_expiry(&mut self, key: ExpiryKey, now: Duration) {
         let ttl_ms = match &key {
-            Watched::Duty(duty) => {
+            ExpiryKey::Duty(duty) => {
                 let duty = self.machine.leases().duties().get(duty);
                 duty.and_then(|d| d.grant.as_ref()).map(|g| g.ttl_ms)
             }
-            Watched::Member(id) => self.machine.sessions().get(id).map(|s| s.ttl_ms),
+            ExpiryKey::Member(id) => self.machine.sessions().get(id).map(|s| s.ttl_ms),
         };
         match ttl_ms {
             Some(ttl_ms) => self.expiry.renewed(key, now, Duration::from_millis(ttl_ms)),
-            None => self.expiry.forget(&key),
+            None => self.expiry.remove(&key),
         }
     }
 
     /// A leader that is new starts every TTL anew, once it has applied all that was decided before its term.
-    fn lead(&mut self, now: Duration) {
+    fn update_leadership(&mut self, now: Duration) {
         let raft = &self.raft.raft;
         let leads = raft.state == StateRole::Leader
             && raft.raft_log.term(raft.raft_log.applied).is_ok_and(|term| term == raft.term);
@@ -386,19 +386,19 @@
         self.leading = leads;
         self.expiry = Expiry::new();
         if leads {
-            let duties = self.machine.leases().duties().keys().cloned().map(Watched::Duty);
-            let members = self.machine.sessions().keys().cloned().map(Watched::Member);
+            let duties = self.machine.leases().duties().keys().cloned().map(ExpiryKey::Duty);
+            let members = self.machine.sessions().keys().cloned().map(ExpiryKey::Member);
             for key in duties.chain(members).collect::<Vec<_>>() {
-                self.watch(key, now);
+                self.track_expiry(key, now);
             }
         }
     }
 
     /// Has the follower that is furthest take over, if this instance leads and there is one; whether it still leads.
-    pub fn hand_over(&mut self) -> bool {
+    pub fn transfer_leadership(&mut self) -> bool {
         let own = self.id();
-        let furthest = self.raft.raft.prs().iter().filter(|(id, _)| **id != own);
-        let to = furthest.max_by_key(|(_, progress)| progress.matched).map(|(id, _)| *id);
+        let followers = self.raft.raft.prs().iter().filter(|(id, _)| **id != own);
+        let to = followers.max_by_key(|(_, progress)| progress.matched).map(|(id, _)| *id);
         let leads = self.leads();
         if let Some(to) = to.filter(|_| leads && self.raft.raft.lead_transferee.is_none()) {
             self.raft.transfer_leader(to);
@@ -414,7 +414,7 @@
     }
 
     /// This instance has taken a snapshot; what it said to that may be lost.
-    pub fn has_snapshot(&mut self, id: u64) {
+    pub fn snapshot_delivered(&mut self, id: u64) {
         self.raft.report_snapshot(id, SnapshotStatus::Finish);
     }
 
@@ -426,25 +426,25 @@
     pub fn compact(&mut self) -> Result<Vec<u8>, DecodeError> {
         let applied = self.raft.raft.raft_log.applied;
         let state = postcard::to_stdvec(&self.machine)?;
-        let kept = self.raft.mut_store();
-        kept.compact(applied, state);
-        kept.whole()
+        let storage = self.raft.mut_store();
+        storage.compact(applied, state);
+        storage.encode_checkpoint()
     }
 }
 
 /// The lease or member whose TTL a command starts anew or ends.
-fn touched(command: &Command) -> Option<Watched> {
+fn expiry_key(command: &Command) -> Option<ExpiryKey> {
     match command {
-        Command::Register { member, .. } => Some(Watched::Member(member.id.clone())),
+        Command::Register { member, .. } => Some(ExpiryKey::Member(member.id.clone())),
         Command::SetPhase { id, .. } | Command::Lapse { id } | Command::Revive { id } => {
-            Some(Watched::Member(id.clone()))
+            Some(ExpiryKey::Member(id.clone()))
         }
         Command::Lease(
             LeaseCommand::Acquire { duty, .. }
             | LeaseCommand::Renew { duty, .. }
             | LeaseCommand::Release { duty, .. }
             | LeaseCommand::Expire { duty, .. },
-        ) => Some(Watched::Duty(duty.clone())),
+        ) => Some(ExpiryKey::Duty(duty.clone())),
         Command::Seed { .. } => None,
     }
 }
--- a/src/replica/core/tests.rs
+++ b/src/replica/core/tests.rs
@@ -1,18 +1,18 @@
 use std::convert::Infallible;
 
 use super::*;
-use crate::replica::storage::TRAIL;
+use crate::replica::storage::RETAINED_ENTRIES;
 
 /// An instance that is alone and leads.
 fn alone() -> Replica {
-    let (kept, again) = (Kept::new(vec![1]), Duration::from_secs(1));
-    let mut replica = Replica::new::<Infallible>(1, kept, 64, 1, again).expect("starts");
+    let (storage, proposal_retry) = (RaftStorage::new(vec![1]), Duration::from_secs(1));
+    let mut replica = Replica::new::<Infallible>(1, storage, 64, 1, proposal_retry).expect("starts");
     replica.campaign();
-    replica.turn(Duration::ZERO, keep).expect("goes on");
+    replica.process_ready(Duration::ZERO, persist).expect("goes on");
     replica
 }
 
-fn keep(_: &[Record]) -> Result<(), Infallible> {
+fn persist(_: &[Record]) -> Result<(), Infallible> {
     Ok(())
 }
 
@@ -25,12 +25,12 @@
     replica.raft.propose(vec![], vec![0x63, 1, 2]).expect("leads");
     let grant = LeaseCommand::Acquire { duty: "d".into(), holder: "h".into(), ttl_ms: 1000 };
     replica.propose(&Command::Lease(grant.clone())).expect("leads");
-    let turn = replica.turn(Duration::ZERO, keep);
-    assert!(matches!(turn, Err(ReplicaError::Decode(_))), "{turn:?}");
+    let ready_set = replica.process_ready(Duration::ZERO, persist);
+    assert!(matches!(ready_set, Err(ReplicaError::Decode(_))), "{ready_set:?}");
     for _ in 0..3 {
         replica.tick(Duration::ZERO);
-        assert_eq!(replica.propose(&Command::Lease(grant.clone())), Err(NotTaken::Busy));
-        assert!(matches!(replica.turn(Duration::ZERO, keep), Err(ReplicaError::Stopped)));
+        assert_eq!(replica.propose(&Command::Lease(grant.clone())), Err(ProposalRejected::Busy));
+        assert!(matches!(replica.process_ready(Duration::ZERO, persist), Err(ReplicaError::Stopped)));
     }
     assert_eq!(replica.machine().list().revision(), 40, "what came before it was carried out");
     assert!(replica.machine().leases().duties().is_empty(), "and nothing after it");
@@ -39,46 +39,46 @@
 /// Three instances, the first of which leads.
 fn three() -> Vec<Replica> {
     let one = |id| {
-        let (kept, again) = (Kept::new(vec![1, 2, 3]), Duration::from_secs(1));
-        Replica::new::<Infallible>(id, kept, 64, id, again).expect("starts")
+        let (storage, proposal_retry) = (RaftStorage::new(vec![1, 2, 3]), Duration::from_secs(1));
+        Replica::new::<Infallible>(id, storage, 64, id, proposal_retry).expect("starts")
     };
     let mut all: Vec<Replica> = (1..=3).map(one).collect();
     all[0].campaign();
-    carry(&mut all, |_| true);
+    deliver(&mut all, |_| true);
     assert!(all[0].leads());
     let seed = Command::Seed { revision: 40, members: vec![] };
     all[0].propose(&seed).expect("leads");
-    carry(&mut all, |_| true);
+    deliver(&mut all, |_| true);
     all
 }
 
 /// Carries messages, those that `passes` lets through, until there are no more.
-fn carry(all: &mut [Replica], mut passes: impl FnMut(&Message) -> bool) {
+fn deliver(all: &mut [Replica], mut delivered: impl FnMut(&Message) -> bool) {
     loop {
-        let turn = |r: &mut Replica| r.turn(Duration::ZERO, keep).expect("goes on").messages;
-        let sent: Vec<Message> = all.iter_mut().flat_map(turn).collect();
+        let process_ready = |r: &mut Replica| r.process_ready(Duration::ZERO, persist).expect("goes on").messages;
+        let sent: Vec<Message> = all.iter_mut().flat_map(process_ready).collect();
         if sent.is_empty() {
             return;
         }
-        for message in sent.into_iter().filter(|m| passes(m)) {
+        for message in sent.into_iter().filter(|m| delivered(m)) {
             let _ = all[message.to as usize - 1].step(message);
         }
     }
 }
 
 /// One tick of all clocks, and what comes of it.
-fn tick(all: &mut [Replica], passes: impl FnMut(&Message) -> bool) {
+fn tick(all: &mut [Replica], delivered: impl FnMut(&Message) -> bool) {
     all.iter_mut().for_each(|r| r.tick(Duration::ZERO));
-    carry(all, passes);
+    deliver(all, delivered);
 }
 
 /// Decides on more than is kept before a snapshot, of which the third instance hears nothing, and compacts the log.
 fn third_falls_behind(all: &mut [Replica]) {
-    for i in 0..2 * TRAIL {
+    for i in 0..2 * RETAINED_ENTRIES {
         let duty = format!("d-{i}");
         let grant = LeaseCommand::Acquire { duty, holder: "h".into(), ttl_ms: 60_000 };
         all[0].propose(&Command::Lease(grant)).expect("leads");
-        carry(all, |m| m.to != 3 && m.from != 3);
+        deliver(all, |m| m.to != 3 && m.from != 3);
     }
     all[0].compact().expect("compacts");
 }
@@ -123,8 +123,8 @@
     assert!(taken > 0 && caught_up(&all), "{taken} taken");
     let grant = LeaseCommand::Acquire { duty: "e".into(), holder: "h".into(), ttl_ms: 60_000 };
     all[0].propose(&Command::Lease(grant)).expect("leads");
-    carry(&mut all, |_| true);
-    all[0].has_snapshot(3);
+    deliver(&mut all, |_| true);
+    all[0].snapshot_delivered(3);
     (0..2 * HEARTBEAT_TICKS).for_each(|_| tick(&mut all, |_| true));
     assert!(caught_up(&all));
 }
--- a/src/replica/host.rs
+++ b/src/replica/host.rs
@@ -16,24 +16,24 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep, timeout};
 
 use super::command::{Command, Outcome};
-use super::core::{self, ELECTION_TICKS, NotTaken, ProposalId, Replica, ReplicaError};
+use super::core::{self, ELECTION_TICKS, ProposalId, ProposalRejected, Replica, ReplicaError};
 use super::machine::Machine;
-use super::storage::{DecodeError, Kept, Record};
+use super::storage::{DecodeError, RaftStorage, Record};
 use crate::calls::Line;
 use crate::store::{Log, Opened, Recovery, StoreError};
 
 /// How long a write may wait for a majority before its caller is told that nobody knows.
-const DECIDED_WITHIN: Duration = Duration::from_secs(3);
+const DECISION_TIMEOUT: Duration = Duration::from_secs(3);
 /// Wait before a snapshot that failed is tried again: the disk is full, and it would only be written in vain.
-const SNAPSHOT_AGAIN: Duration = Duration::from_secs(5);
+const SNAPSHOT_RETRY_DELAY: Duration = Duration::from_secs(5);
 /// How long a peer may take to answer before its connection is given up.
-const PEER_WITHIN: Duration = Duration::from_secs(1);
+const PEER_CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Messages that wait for a peer; what is beyond is dropped, and sent anew by the consensus.
-const PEER_QUEUE: usize = 1024;
+const PEER_QUEUE_MESSAGES: usize = 1024;
 /// The most bytes of messages in one call to a peer; a snapshot may be one message of many.
-pub const PEER_BYTES: usize = 64 << 20;
+pub const PEER_CALL_MAX_BYTES: usize = 64 << 20;
 /// Bytes of log that only the consensus itself may use, so that an instance whose log is full still votes.
-const RESERVE: u64 = 8 << 10;
+const CONSENSUS_RESERVE_BYTES: u64 = 8 << 10;
 
 /// What an instance answers to its peers' messages: the forms that it reads ([`crate::discovery::kept`]). Versions
 /// without services answer `{}`.
@@ -93,7 +93,7 @@
     #[error("{0}")]
     Disk(String),
     /// Nobody knows: no majority said so in time.
-    #[error("not decided within {DECIDED_WITHIN:?}; it may be yet")]
+    #[error("not decided within {DECISION_TIMEOUT:?}; it may be yet")]
     Unknown,
 }
 
@@ -119,10 +119,10 @@
 pub struct Host {
     replica: RefCell<Replica>,
     log: RefCell<Option<Log>>,
-    waiting: RefCell<HashMap<ProposalId, oneshot::Sender<Outcome>>>,
+    waiters: RefCell<HashMap<ProposalId, oneshot::Sender<Outcome>>>,
     peers: HashMap<u64, (SocketAddr, mpsc::Sender<Outgoing>)>,
     /// Peers that have not said yet which forms they read.
-    unknown: RefCell<BTreeSet<u64>>,
+    unconfirmed_peers: RefCell<BTreeSet<u64>>,
     work: Notify,
     revisions: watch::Sender<u64>,
     start: Instant,
@@ -131,11 +131,11 @@
     no_snapshot_before: Cell<Duration>,
     seed: Command,
     /// The term in which this instance has last proposed it.
-    seeded_in: Cell<u64>,
+    seed_proposed_term: Cell<u64>,
     /// Whether the log says that it can't be proposed yet.
-    seed_waits: Cell<bool>,
+    seed_delay_logged: Cell<bool>,
     /// Why the disk takes nothing, while it does not.
-    trouble: RefCell<Option<String>>,
+    write_failure: RefCell<Option<String>>,
     /// Counts since the start.
     pub counts: Counts,
 }
@@ -156,24 +156,24 @@
             .state_dir
             .map(|dir| Log::open(dir, setup.recovery, setup.max_log_bytes))
             .transpose()?;
-        let (log, kept) = match opened {
+        let (log, storage) = match opened {
             Some(Opened { mut log, snapshot, records, cut }) => {
                 if log.sequence() == 0 {
                     let first = Record::Voters(voters.clone());
                     log.append(&[postcard::to_stdvec(&first).map_err(DecodeError::from)?])?;
                 }
-                let kept = Kept::restore(voters, snapshot.as_deref(), &records)?;
-                tracing::info!(records = records.len(), cut, last = kept.last(), "state opened");
-                (Some(log), kept)
+                let storage = RaftStorage::restore(voters, snapshot.as_deref(), &records)?;
+                tracing::info!(records = records.len(), cut, last = storage.last(), "state opened");
+                (Some(log), storage)
             }
-            None => (None, Kept::new(voters)),
+            None => (None, RaftStorage::new(voters)),
         };
         let nonce = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos();
         let nonce = (nonce as u64) ^ u64::from(std::process::id()) << 40 ^ setup.id << 56;
-        let replica = Replica::new(setup.id, kept, setup.history, nonce, setup.election)?;
+        let replica = Replica::new(setup.id, storage, setup.history, nonce, setup.election)?;
         let (mut peers, mut queues) = (HashMap::new(), Vec::new());
         for (id, address) in setup.peers.iter().filter(|(id, _)| *id != setup.id) {
-            let (queue, messages) = mpsc::channel(PEER_QUEUE);
+            let (queue, messages) = mpsc::channel(PEER_QUEUE_MESSAGES);
             peers.insert(*id, (*address, queue));
             queues.push((*id, *address, messages));
         }
@@ -181,8 +181,8 @@
         let host = Rc::new(Self {
             replica: RefCell::new(replica),
             log: RefCell::new(log),
-            waiting: RefCell::default(),
-            unknown: RefCell::new(peers.keys().copied().collect()),
+            waiters: RefCell::default(),
+            unconfirmed_peers: RefCell::new(peers.keys().copied().collect()),
             peers,
             work: Notify::new(),
             revisions: watch::Sender::new(0),
@@ -191,19 +191,19 @@
             snapshot_bytes: setup.snapshot_bytes,
             no_snapshot_before: Cell::default(),
             seed: Command::Seed { revision, members },
-            seeded_in: Cell::new(0),
-            seed_waits: Cell::new(false),
-            trouble: RefCell::default(),
+            seed_proposed_term: Cell::new(0),
+            seed_delay_logged: Cell::new(false),
+            write_failure: RefCell::default(),
             counts: Counts::default(),
         });
         for (id, address, messages) in queues {
-            tokio::task::spawn_local(host.clone().talk_to(id, address, messages));
+            tokio::task::spawn_local(host.clone().send_to_peer(id, address, messages));
         }
         if alone {
             host.replica.borrow_mut().campaign();
-            host.turn();
+            host.process_ready();
         }
-        tokio::task::spawn_local(host.clone().drive());
+        tokio::task::spawn_local(host.clone().run());
         Ok(host)
     }
 
@@ -211,7 +211,7 @@
         self.start.elapsed()
     }
 
-    async fn drive(self: Rc<Self>) {
+    async fn run(self: Rc<Self>) {
         let mut ticks = interval(self.tick);
         // After a pause, the ticks that were missed tell nothing: peers were not silent, we were.
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -220,15 +220,15 @@
                 _ = ticks.tick() => self.replica.borrow_mut().tick(self.now()),
                 () = self.work.notified() => {}
             }
-            self.turn();
+            self.process_ready();
         }
     }
 
     /// Does what has become due: one batch to disk, messages out, outcomes told.
-    fn turn(&self) {
+    fn process_ready(&self) {
         let now = self.now();
         let mut replica = self.replica.borrow_mut();
-        let keep = |records: &[Record]| {
+        let persist = |records: &[Record]| {
             let mut log = self.log.borrow_mut();
             let Some(log) = log.as_mut() else { return Ok(()) };
             let encode = |r| postcard::to_stdvec(r).unwrap_or_default();
@@ -236,10 +236,10 @@
             self.counts.batches.set(self.counts.batches.get() + 1);
             Ok::<_, StoreError>(())
         };
-        let turn = match replica.turn(now, keep) {
-            Ok(turn) => turn,
-            Err(ReplicaError::Keep(error)) => {
-                if self.trouble.replace(Some(error.to_string())).is_none() {
+        let ready_set = match replica.process_ready(now, persist) {
+            Ok(ready_set) => ready_set,
+            Err(ReplicaError::Persist(error)) => {
+                if self.write_failure.replace(Some(error.to_string())).is_none() {
                     tracing::error!(%error, "nothing can be kept: writes fail, reads go on");
                 }
                 return;
@@ -248,16 +248,16 @@
             Err(ReplicaError::Stopped) => return,
             Err(error) => {
                 // Going on from here could undo what others count on.
-                if self.trouble.replace(Some(error.to_string())).is_none() {
+                if self.write_failure.replace(Some(error.to_string())).is_none() {
                     tracing::error!(%error, "this instance takes no further part");
                 }
                 return;
             }
         };
-        if self.trouble.take().is_some() {
+        if self.write_failure.take().is_some() {
             tracing::info!("the disk takes writes again");
         }
-        for message in turn.messages {
+        for message in ready_set.messages {
             let Some((_, queue)) = self.peers.get(&message.to) else { continue };
             let snapshot = message.get_msg_type() == MessageType::MsgSnapshot;
             let Ok(data) = core::encode(&message) else { continue };
@@ -265,22 +265,22 @@
                 replica.unreachable(message.to);
             }
         }
-        for (duty, token) in turn.expired {
+        for (duty, token) in ready_set.expired {
             tracing::warn!(duty, lease = token, "duty expired");
         }
-        let mut waiting = self.waiting.borrow_mut();
-        for (id, outcome) in turn.outcomes {
-            if let Some(waiter) = waiting.remove(&id) {
+        let mut waiters = self.waiters.borrow_mut();
+        for (id, outcome) in ready_set.outcomes {
+            if let Some(waiter) = waiters.remove(&id) {
                 let _ = waiter.send(outcome);
             }
         }
-        if turn.leader_changed {
+        if ready_set.leader_changed {
             self.counts.elections.set(self.counts.elections.get() + 1);
             let (leader, term) = (replica.leader(), replica.term());
             tracing::info!(id = replica.id(), ?leader, term, "leader");
             if !replica.leads() {
                 // Nobody will tell them.
-                waiting.clear();
+                waiters.clear();
             }
         }
         if replica.leads() && !replica.machine().seeded() {
@@ -293,13 +293,13 @@
 
     /// Once a term: where it is lost with its leader, the next one has it again.
     fn propose_seed(&self, replica: &mut Replica) {
-        if let Some(why) = self.mixed(&self.seed, replica) {
-            if !self.seed_waits.replace(true) {
+        if let Some(why) = self.missing_service_support(&self.seed, replica) {
+            if !self.seed_delay_logged.replace(true) {
                 tracing::warn!(%why, "the first list waits");
             }
             return;
         }
-        if self.seeded_in.replace(replica.term()) != replica.term()
+        if self.seed_proposed_term.replace(replica.term()) != replica.term()
             && replica.propose(&self.seed).is_ok()
         {
             self.work.notify_one();
@@ -312,23 +312,23 @@
             |l: &&mut Log| l.length() > self.snapshot_bytes && now >= self.no_snapshot_before.get();
         let Some(log) = log.as_mut().filter(due) else { return };
         let done = replica.compact().map_err(HostError::from);
-        if let Err(error) = done.and_then(|whole| Ok(log.compact(&whole)?)) {
+        if let Err(error) = done.and_then(|checkpoint| Ok(log.compact(&checkpoint)?)) {
             tracing::warn!(%error, "no snapshot");
-            self.no_snapshot_before.set(now + SNAPSHOT_AGAIN);
+            self.no_snapshot_before.set(now + SNAPSHOT_RETRY_DELAY);
         }
     }
 
     /// Why a command must not be proposed yet: it has the first service in it, and some instance may not read it. What
     /// the log holds already every instance has to read, so that one which is down then stands in nobody's way.
-    fn mixed(&self, command: &Command, replica: &Replica) -> Option<WriteError> {
-        let unknown = self.unknown.borrow();
+    fn missing_service_support(&self, command: &Command, replica: &Replica) -> Option<WriteError> {
+        let unconfirmed = self.unconfirmed_peers.borrow();
         let first = command.in_service() && !replica.machine().list().in_services();
-        (first && !unknown.is_empty()).then(|| WriteError::Mixed(unknown.iter().copied().collect()))
+        (first && !unconfirmed.is_empty()).then(|| WriteError::Mixed(unconfirmed.iter().copied().collect()))
     }
 
     /// Looks at the state as this instance has it.
-    pub fn read<T>(&self, look: impl FnOnce(&Machine) -> T) -> T {
-        look(self.replica.borrow().machine())
+    pub fn read<T>(&self, f: impl FnOnce(&Machine) -> T) -> T {
+        f(self.replica.borrow().machine())
     }
 
     /// The list's revision here, as it changes.
@@ -337,7 +337,7 @@
     }
 
     /// This instance, the leader as far as it knows, and the term.
-    pub fn standing(&self) -> (u64, Option<u64>, u64) {
+    pub fn raft_status(&self) -> (u64, Option<u64>, u64) {
         let replica = self.replica.borrow();
         (replica.id(), replica.leader(), replica.term())
     }
@@ -348,19 +348,19 @@
     }
 
     /// Why the disk takes nothing, while it does not.
-    pub fn trouble(&self) -> Option<String> {
-        self.trouble.borrow().clone()
+    pub fn write_failure(&self) -> Option<String> {
+        self.write_failure.borrow().clone()
     }
 
-    fn refuse(&self, why: NotTaken) -> WriteError {
-        if let Some(trouble) = self.trouble() {
-            return WriteError::Disk(trouble);
+    fn refuse(&self, why: ProposalRejected) -> WriteError {
+        if let Some(write_failure) = self.write_failure() {
+            return WriteError::Disk(write_failure);
         }
         match why {
-            NotTaken::NotLeader(leader) => {
+            ProposalRejected::NotLeader(leader) => {
                 WriteError::NotLeader(leader.and_then(|id| Some(self.peers.get(&id)?.0)))
             }
-            NotTaken::Busy => WriteError::Busy,
+            ProposalRejected::Busy => WriteError::Busy,
         }
     }
 
@@ -370,25 +370,25 @@
     /// [`WriteError`].
     pub async fn decide(&self, command: Command) -> Result<Outcome, WriteError> {
         let size = postcard::to_stdvec(&command).map_or(0, |c| c.len()) as u64;
-        let room = self.log.borrow().as_ref().and_then(Log::room);
-        if room.is_some_and(|room| room < size + RESERVE) {
-            let room = room.unwrap_or_default();
-            return Err(WriteError::Disk(format!("the log is full: {room} bytes are left")));
+        let remaining = self.log.borrow().as_ref().and_then(Log::remaining);
+        if remaining.is_some_and(|remaining| remaining < size + CONSENSUS_RESERVE_BYTES) {
+            let remaining = remaining.unwrap_or_default();
+            return Err(WriteError::Disk(format!("the log is full: {remaining} bytes are left")));
         }
-        let mixed = self.mixed(&command, &self.replica.borrow());
+        let mixed = self.missing_service_support(&command, &self.replica.borrow());
         if let Some(mixed) = mixed.filter(|_| self.replica.borrow().leads()) {
             return Err(mixed);
         }
         let proposed = self.replica.borrow_mut().propose(&command);
         let id = proposed.map_err(|why| self.refuse(why))?;
-        let (told, outcome) = oneshot::channel();
-        self.waiting.borrow_mut().insert(id, told);
+        let (sender, outcome) = oneshot::channel();
+        self.waiters.borrow_mut().insert(id, sender);
         self.work.notify_one();
-        let outcome = timeout(DECIDED_WITHIN, outcome).await;
-        self.waiting.borrow_mut().remove(&id);
+        let outcome = timeout(DECISION_TIMEOUT, outcome).await;
+        self.waiters.borrow_mut().remove(&id);
         let outcome = match outcome {
             Ok(Ok(outcome)) => outcome,
-            _ => return Err(self.trouble().map_or(WriteError::Unknown, WriteError::Disk)),
+            _ => return Err(self.write_failure().map_or(WriteError::Unknown, WriteError::Disk)),
         };
         self.counts.writes.set(self.counts.writes.get() + 1);
         Ok(outcome)
@@ -396,9 +396,9 @@
 
     /// Hands leadership over before this instance stops, so that nobody need miss it first; returns once another
     /// leads, or `within` has passed.
-    pub async fn hand_over(&self, within: Duration) {
+    pub async fn transfer_leadership(&self, within: Duration) {
         let until = Instant::now() + within;
-        while Instant::now() < until && self.replica.borrow_mut().hand_over() {
+        while Instant::now() < until && self.replica.borrow_mut().transfer_leadership() {
             self.work.notify_one();
             sleep(self.tick / 5).await;
         }
@@ -418,7 +418,7 @@
     ///
     /// # Errors
     /// What is wrong with the call.
-    pub fn take(&self, mut data: &[u8]) -> Result<(), String> {
+    pub fn receive_messages(&self, mut data: &[u8]) -> Result<(), String> {
         while let Some((length, rest)) = data.split_first_chunk::<4>() {
             let length = u32::from_le_bytes(*length) as usize;
             let message = rest.get(..length).ok_or("a message that is cut")?;
@@ -429,7 +429,7 @@
             }
             if let Err(cause) = self.replica.borrow_mut().step(message) {
                 // Said once already, where it is the disk.
-                if self.trouble.borrow().is_none() {
+                if self.write_failure.borrow().is_none() {
                     tracing::warn!(cause, "a message from a peer is left aside");
                 }
             }
@@ -442,13 +442,13 @@
     }
 
     /// Carries messages to one peer: all that wait in one call, the next once it is answered.
-    async fn talk_to(
+    async fn send_to_peer(
         self: Rc<Self>,
         id: u64,
         address: SocketAddr,
         mut messages: mpsc::Receiver<Outgoing>,
     ) {
-        let waits = || {
+        let backoff = || {
             ExponentialBuilder::default()
                 .with_min_delay(self.tick / 2)
                 .with_max_delay(self.tick * 4)
@@ -456,31 +456,31 @@
                 .without_max_times()
                 .build()
         };
-        let (mut line, mut pause) = (None, waits());
+        let (mut connection, mut delays) = (None, backoff());
         while let Some(first) = messages.recv().await {
             let (mut batch, mut snapshot) = (BytesMut::new(), false);
             let mut add = |message: Outgoing| {
                 batch.put_u32_le(message.data.len() as u32);
                 batch.extend_from_slice(&message.data);
                 snapshot |= message.snapshot;
-                batch.len() < PEER_BYTES / 2
+                batch.len() < PEER_CALL_MAX_BYTES / 2
             };
-            let mut room = add(first);
-            while room && let Ok(message) = messages.try_recv() {
-                room = add(message);
+            let mut has_space = add(first);
+            while has_space && let Ok(message) = messages.try_recv() {
+                has_space = add(message);
             }
             let call = async {
-                if line.is_none() {
-                    line = Some(Line::open(address).await.map_err(|e| e.to_string())?);
+                if connection.is_none() {
+                    connection = Some(Line::open(address).await.map_err(|e| e.to_string())?);
                 }
-                let Some(open) = line.as_mut() else { return Ok(()) };
-                let said = open.ask(Method::POST, "/peer/messages", batch.freeze(), 4096).await;
-                match said.map_err(|e| e.to_string())? {
-                    (StatusCode::OK, said) => {
+                let Some(connected) = connection.as_mut() else { return Ok(()) };
+                let answer = connected.ask(Method::POST, "/peer/messages", batch.freeze(), 4096).await;
+                match answer.map_err(|e| e.to_string())? {
+                    (StatusCode::OK, answer) => {
                         // Anew at each call: it may have been started as another version.
-                        match said.as_ref() == FORMS.as_bytes() {
-                            true => self.unknown.borrow_mut().remove(&id),
-                            false => self.unknown.borrow_mut().insert(id),
+                        match answer.as_ref() == FORMS.as_bytes() {
+                            true => self.unconfirmed_peers.borrow_mut().remove(&id),
+                            false => self.unconfirmed_peers.borrow_mut().insert(id),
                         };
                         Ok(())
                     }
@@ -489,22 +489,22 @@
                     }
                 }
             };
-            let failed = match timeout(PEER_WITHIN, call).await {
+            let failed = match timeout(PEER_CALL_TIMEOUT, call).await {
                 Ok(Ok(())) => {
-                    pause = waits();
+                    delays = backoff();
                     if snapshot {
-                        self.replica.borrow_mut().has_snapshot(id);
+                        self.replica.borrow_mut().snapshot_delivered(id);
                         self.work.notify_one();
                     }
                     continue;
                 }
                 Ok(Err(cause)) => cause,
-                Err(_) => format!("{address}: no answer within {PEER_WITHIN:?}"),
+                Err(_) => format!("{address}: no answer within {PEER_CALL_TIMEOUT:?}"),
             };
             tracing::debug!(cause = failed, "peer");
-            line = None;
+            connection = None;
             self.replica.borrow_mut().unreachable(id);
-            sleep(pause.next().unwrap_or(self.tick)).await;
+            sleep(delays.next().unwrap_or(self.tick)).await;
             // What has waited meanwhile is out of date; the consensus sends anew, once it is told.
             while messages.try_recv().is_ok() {}
             self.replica.borrow_mut().unreachable(id);
--- a/src/replica/machine.rs
+++ b/src/replica/machine.rs
@@ -73,8 +73,8 @@
 }
 
 impl From<Form> for Machine {
-    fn from(kept: Form) -> Self {
-        match kept {
+    fn from(form: Form) -> Self {
+        match form {
             Form::UnseededV1(state) => state.machine(false),
             Form::SeededV1(state) => state.machine(true),
             Form::V2 { seeded, state } => state.machine(seeded),
@@ -127,7 +127,7 @@
                 }
             }
             Command::Register { member, ttl_ms, fence } => {
-                if let Err(refusal) = self.fenced(&fence) {
+                if let Err(refusal) = self.check_fence(&fence) {
                     return Outcome::Refused(refusal);
                 }
                 match ttl_ms {
@@ -140,25 +140,25 @@
                 self.list.apply(member);
             }
             Command::SetPhase { id, phase, fence } => {
-                if let Err(refusal) = self.fenced(&fence) {
+                if let Err(refusal) = self.check_fence(&fence) {
                     return Outcome::Refused(refusal);
                 }
                 // From now on it drains by word, or serves: either way it has not lapsed.
                 if let Some(session) = self.sessions.get_mut(&id) {
                     session.lapsed = false;
                 }
-                return self.turn(&id, phase);
+                return self.change_phase(&id, phase);
             }
             Command::Lapse { id } => {
                 let Some(session) = self.sessions.get_mut(&id) else { return Outcome::Unknown };
-                let drains = self.list.member(&id).is_some_and(|m| m.phase == Phase::Draining);
+                let draining = self.list.member(&id).is_some_and(|m| m.phase == Phase::Draining);
                 session.lapsed = true;
-                return self.turn(&id, if drains { Phase::Deleted } else { Phase::Draining });
+                return self.change_phase(&id, if draining { Phase::Deleted } else { Phase::Draining });
             }
             Command::Revive { id } => {
                 let Some(session) = self.sessions.get_mut(&id) else { return Outcome::Unknown };
                 if std::mem::take(&mut session.lapsed) {
-                    return self.turn(&id, Phase::Serving);
+                    return self.change_phase(&id, Phase::Serving);
                 }
             }
             Command::Lease(command) => {
@@ -171,7 +171,7 @@
         Outcome::Revision(self.list.revision())
     }
 
-    fn turn(&mut self, id: &str, phase: Phase) -> Outcome {
+    fn change_phase(&mut self, id: &str, phase: Phase) -> Outcome {
         let Some(member) = self.list.member(id) else { return Outcome::Unknown };
         let member = Member { phase, ..member.clone() };
         if phase == Phase::Deleted {
@@ -181,7 +181,7 @@
         Outcome::Revision(self.list.revision())
     }
 
-    fn fenced(&self, fence: &Option<Fence>) -> Result<(), Refusal> {
+    fn check_fence(&self, fence: &Option<Fence>) -> Result<(), Refusal> {
         match fence {
             Some(Fence { duty, token }) => self.leases.check(duty, *token),
             None => Ok(()),
--- a/src/replica/storage.rs
+++ b/src/replica/storage.rs
@@ -46,7 +46,7 @@
 
 /// Everything that is kept, as one snapshot of the state directory.
 #[derive(Serialize, Deserialize)]
-struct Whole {
+struct Checkpoint {
     voters: Vec<u64>,
     truncated: (u64, u64),
     hard_state: Vec<u8>,
@@ -56,7 +56,7 @@
 
 /// The log of one instance.
 #[derive(Clone, Debug, Default)]
-pub struct Kept {
+pub struct RaftStorage {
     voters: Vec<u64>,
     hard_state: HardState,
     /// The newest snapshot: its index is that of the state, not below the first entry's less one.
@@ -67,9 +67,9 @@
 }
 
 /// Entries kept before a snapshot, so that a follower that is a little behind needs no whole state.
-pub(super) const TRAIL: u64 = 256;
+pub(super) const RETAINED_ENTRIES: u64 = 256;
 
-impl Kept {
+impl RaftStorage {
     /// An instance that has seen nothing, among these voters.
     pub fn new(voters: Vec<u64>) -> Self {
         Self { voters, ..Self::default() }
@@ -82,30 +82,30 @@
     /// [`DecodeError`].
     pub fn restore(
         voters: Vec<u64>,
-        whole: Option<&[u8]>,
+        checkpoint: Option<&[u8]>,
         records: &[Vec<u8>],
     ) -> Result<Self, DecodeError> {
-        let mut kept = Self::new(voters);
-        if let Some(whole) = whole {
-            let whole: Whole = postcard::from_bytes(whole)?;
-            kept.of(&whole.voters)?;
-            kept.truncated = whole.truncated;
-            kept.hard_state = HardState::parse_from_bytes(&whole.hard_state)?;
-            kept.snapshot = Snapshot::parse_from_bytes(&whole.snapshot)?;
-            for entry in &whole.entries {
-                kept.entries.push_back(Entry::parse_from_bytes(entry)?);
+        let mut storage = Self::new(voters);
+        if let Some(checkpoint) = checkpoint {
+            let checkpoint: Checkpoint = postcard::from_bytes(checkpoint)?;
+            storage.adopt_voters(&checkpoint.voters)?;
+            storage.truncated = checkpoint.truncated;
+            storage.hard_state = HardState::parse_from_bytes(&checkpoint.hard_state)?;
+            storage.snapshot = Snapshot::parse_from_bytes(&checkpoint.snapshot)?;
+            for entry in &checkpoint.entries {
+                storage.entries.push_back(Entry::parse_from_bytes(entry)?);
             }
         }
         for record in records {
-            kept.take(&postcard::from_bytes(record)?)?;
+            storage.apply_record(&postcard::from_bytes(record)?)?;
         }
         // What is committed must be here: the commit is kept with the entries, never before them.
-        kept.hard_state.commit = kept.hard_state.commit.min(kept.last());
-        Ok(kept)
+        storage.hard_state.commit = storage.hard_state.commit.min(storage.last());
+        Ok(storage)
     }
 
     /// Two sets of instances of one log could each decide without the other.
-    fn of(&mut self, kept: &[u64]) -> Result<(), DecodeError> {
+    fn adopt_voters(&mut self, kept: &[u64]) -> Result<(), DecodeError> {
         if self.voters.is_empty() {
             self.voters = kept.to_vec();
         }
@@ -120,7 +120,7 @@
     ///
     /// # Errors
     /// [`DecodeError`].
-    pub fn take(&mut self, record: &Record) -> Result<(), DecodeError> {
+    pub fn apply_record(&mut self, record: &Record) -> Result<(), DecodeError> {
         match record {
             Record::Entries(entries) => {
                 for entry in entries {
@@ -135,14 +135,14 @@
                     self.entries.push_back(entry);
                 }
             }
-            Record::Voters(voters) => self.of(voters)?,
+            Record::Voters(voters) => self.adopt_voters(voters)?,
             Record::HardState(state) => self.hard_state = HardState::parse_from_bytes(state)?,
             Record::Snapshot(snapshot) => {
                 let snapshot = Snapshot::parse_from_bytes(snapshot)?;
-                let at = snapshot.get_metadata();
-                self.truncated = (at.index, at.term);
-                self.hard_state.term = self.hard_state.term.max(at.term);
-                self.hard_state.commit = at.index;
+                let metadata = snapshot.get_metadata();
+                self.truncated = (metadata.index, metadata.term);
+                self.hard_state.term = self.hard_state.term.max(metadata.term);
+                self.hard_state.commit = metadata.index;
                 self.entries.clear();
                 self.snapshot = snapshot;
             }
@@ -176,11 +176,11 @@
         let Ok(term) = self.term(applied) else { return };
         let mut snapshot = Snapshot::default();
         snapshot.set_data(state.into());
-        let at = snapshot.mut_metadata();
-        (at.index, at.term) = (applied, term);
-        at.set_conf_state(self.conf_state());
+        let metadata = snapshot.mut_metadata();
+        (metadata.index, metadata.term) = (applied, term);
+        metadata.set_conf_state(self.conf_state());
         self.snapshot = snapshot;
-        let keep_from = applied.saturating_sub(TRAIL);
+        let keep_from = applied.saturating_sub(RETAINED_ENTRIES);
         while let Some(entry) = self.entries.front().filter(|e| e.index <= keep_from) {
             self.truncated = (entry.index, entry.term);
             self.entries.pop_front();
@@ -191,16 +191,16 @@
     ///
     /// # Errors
     /// [`DecodeError`], which is not expected of what is held in memory.
-    pub fn whole(&self) -> Result<Vec<u8>, DecodeError> {
+    pub fn encode_checkpoint(&self) -> Result<Vec<u8>, DecodeError> {
         let entries = self.entries.iter().map(Entry::write_to_bytes).collect::<Result<_, _>>()?;
-        let whole = Whole {
+        let checkpoint = Checkpoint {
             voters: self.voters.clone(),
             truncated: self.truncated,
             hard_state: self.hard_state.write_to_bytes()?,
             snapshot: self.snapshot.write_to_bytes()?,
             entries,
         };
-        Ok(postcard::to_stdvec(&whole)?)
+        Ok(postcard::to_stdvec(&checkpoint)?)
     }
 
     /// The newest snapshot's index and state; index 0 and nothing where there is none.
@@ -233,7 +233,7 @@
     }
 }
 
-impl Storage for Kept {
+impl Storage for RaftStorage {
     fn initial_state(&self) -> raft::Result<RaftState> {
         Ok(RaftState::new(self.hard_state.clone(), self.conf_state()))
     }
@@ -251,8 +251,8 @@
         if high > self.last() + 1 {
             return Err(StorageError::Unavailable.into());
         }
-        let at = |index: u64| (index - self.truncated.0 - 1) as usize;
-        let mut entries: Vec<Entry> = self.entries.range(at(low)..at(high)).cloned().collect();
+        let position = |index: u64| (index - self.truncated.0 - 1) as usize;
+        let mut entries: Vec<Entry> = self.entries.range(position(low)..position(high)).cloned().collect();
         limit_size(&mut entries, max_size.into());
         Ok(entries)
     }
--- a/src/roles/mod.rs
+++ b/src/roles/mod.rs
@@ -29,7 +29,7 @@
 use crate::release::state::StateError;
 use crate::replica::host::{Host, HostError, Setup};
 use crate::replica::machine::Machine;
-use crate::replica::storage::Kept;
+use crate::replica::storage::RaftStorage;
 use crate::signals::{Kind, Signals};
 use crate::stand_in::Manner;
 use crate::store::Recovery;
@@ -147,7 +147,7 @@
         };
         let (listener, _) = listen(config.listen).await?;
         until_stopped(service.serve(listener)).await?;
-        host.hand_over(HAND_OVER_WITHIN).await;
+        host.transfer_leadership(HAND_OVER_WITHIN).await;
         Ok(())
     })
 }
@@ -298,7 +298,7 @@
         let state = state.map_err(|e| e.to_string())?;
         return Ok(format!("{files}; release state {state:?}"));
     }
-    let kept = Kept::restore(vec![], snapshot.as_deref(), &records).map_err(|e| e.to_string())?;
+    let kept = RaftStorage::restore(vec![], snapshot.as_deref(), &records).map_err(|e| e.to_string())?;
     let state = kept.hard_state();
     let (applied, machine) = kept.state();
     let machine = (applied > 0).then(|| postcard::from_bytes::<Machine>(machine)).transpose();
--- a/src/store/log.rs
+++ b/src/store/log.rs
@@ -7,7 +7,7 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-use super::record::{self, LONGEST, Read};
+use super::record::{self, MAX_PAYLOAD_BYTES, Read};
 
 /// How a directory with a corrupt record is opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,7 +57,7 @@
     /// An earlier failure left the end of the log unknown; only opening it anew can tell.
     #[error("{}: closed to writes after a failed sync", .0.display())]
     Poisoned(PathBuf),
-    /// A payload over [`LONGEST`] bytes.
+    /// A payload over [`MAX_PAYLOAD_BYTES`] bytes.
     #[error("a record of {0} bytes")]
     TooLong(usize),
 }
@@ -110,12 +110,12 @@
     pub torn: u64,
 }
 
-struct Found {
+struct Generation {
     base: u64,
     snapshot: Option<Vec<u8>>,
     records: Vec<Vec<u8>>,
-    good: u64,
-    size: u64,
+    valid_bytes: u64,
+    file_bytes: u64,
 }
 
 fn snapshot_path(dir: &Path, base: u64) -> PathBuf {
@@ -152,13 +152,13 @@
 }
 
 /// Reads one generation. A corrupt record in its log ends it: the error comes with what was good before.
-fn examine(dir: &Path, base: u64) -> Result<(Found, Option<StoreError>), StoreError> {
+fn read_generation(dir: &Path, base: u64) -> Result<(Generation, Option<StoreError>), StoreError> {
     let mut snapshot = None;
     if base > 0 {
         let path = snapshot_path(dir, base);
         let data = read_file(&path)?.unwrap_or_default();
         match record::read(&data, 0) {
-            Read::Whole { sequence, payload, next } if sequence == base && next == data.len() => {
+            Read::Complete { sequence, payload, next } if sequence == base && next == data.len() => {
                 snapshot = Some(payload.to_vec());
             }
             Read::Corrupt(what) => return Err(corrupt(&path, 0, what)),
@@ -168,12 +168,12 @@
     }
     let path = log_path(dir, base);
     let data = read_file(&path)?.unwrap_or_default();
-    let size = data.len() as u64;
+    let file_bytes = data.len() as u64;
     let (mut records, mut at) = (Vec::new(), 0);
     let mut error = None;
     loop {
         match record::read(&data, at) {
-            Read::Whole { sequence, payload, next } => {
+            Read::Complete { sequence, payload, next } => {
                 let expected = base + records.len() as u64 + 1;
                 if sequence != expected {
                     let what = format!("sequence number {sequence} instead of {expected}");
@@ -190,18 +190,18 @@
             }
         }
     }
-    Ok((Found { base, snapshot, records, good: at as u64, size }, error))
+    Ok((Generation { base, snapshot, records, valid_bytes: at as u64, file_bytes }, error))
 }
 
-fn newest(dir: &Path, recovery: Recovery) -> Result<Found, StoreError> {
+fn load_newest(dir: &Path, recovery: Recovery) -> Result<Generation, StoreError> {
     let mut first = None;
     for base in generations(dir)?.into_iter().rev() {
-        let failed = match examine(dir, base) {
+        let failed = match read_generation(dir, base) {
             Ok((found, None)) => return Ok(found),
             Ok((found, Some(error))) if recovery == Recovery::LastGoodSnapshot => {
                 tracing::error!(%error, kept = found.records.len(), "restored up to a corrupt record");
-                let aside = log_path(dir, base).with_extension("corrupt");
-                fs::copy(log_path(dir, base), &aside).map_err(io_at(&aside))?;
+                let backup = log_path(dir, base).with_extension("corrupt");
+                fs::copy(log_path(dir, base), &backup).map_err(io_at(&backup))?;
                 return Ok(found);
             }
             Ok((_, Some(error))) | Err(error) => error,
@@ -210,8 +210,8 @@
             return Err(failed);
         }
         tracing::error!(error = %failed, "going back to an older snapshot");
-        let aside = snapshot_path(dir, base).with_extension("corrupt");
-        fs::rename(snapshot_path(dir, base), &aside).map_err(io_at(&aside))?;
+        let backup = snapshot_path(dir, base).with_extension("corrupt");
+        fs::rename(snapshot_path(dir, base), &backup).map_err(io_at(&backup))?;
         first.get_or_insert(failed);
     }
     Err(first.unwrap_or_else(|| corrupt(dir, 0, "no generation")))
@@ -222,8 +222,8 @@
 /// # Errors
 /// [`StoreError::Corrupt`] with the file and offset, [`StoreError::Io`] where it can't be read.
 pub fn inspect(dir: &Path) -> Result<Contents, StoreError> {
-    let Found { base, snapshot, records, good, size } = newest(dir, Recovery::Strict)?;
-    Ok(Contents { base, snapshot, records, log_bytes: size, torn: size - good })
+    let Generation { base, snapshot, records, valid_bytes, file_bytes } = load_newest(dir, Recovery::Strict)?;
+    Ok(Contents { base, snapshot, records, log_bytes: file_bytes, torn: file_bytes - valid_bytes })
 }
 
 fn sync_dir(dir: &Path) -> Result<(), StoreError> {
@@ -245,14 +245,14 @@
             fs::TryLockError::WouldBlock => StoreError::InUse(dir.to_owned()),
             fs::TryLockError::Error(source) => StoreError::Io { path: lock_path.clone(), source },
         })?;
-        let found = newest(dir, recovery)?;
+        let found = load_newest(dir, recovery)?;
         let path = log_path(dir, found.base);
         let file =
             OpenOptions::new().create(true).append(true).open(&path).map_err(io_at(&path))?;
-        let cut = found.size - found.good;
+        let cut = found.file_bytes - found.valid_bytes;
         if cut > 0 {
-            tracing::warn!(path = %path.display(), offset = found.good, cut, "a torn last record is cut off");
-            file.set_len(found.good).map_err(io_at(&path))?;
+            tracing::warn!(path = %path.display(), offset = found.valid_bytes, cut, "a torn last record is cut off");
+            file.set_len(found.valid_bytes).map_err(io_at(&path))?;
         }
         file.sync_all().map_err(io_at(&path))?;
         sync_dir(dir)?;
@@ -262,7 +262,7 @@
             path,
             sequence: found.base + found.records.len() as u64,
             base: found.base,
-            length: found.good,
+            length: found.valid_bytes,
             limit,
             poisoned: false,
             _lock: Some(lock),
@@ -281,7 +281,7 @@
     }
 
     /// Bytes left under the limit, where there is one.
-    pub fn room(&self) -> Option<u64> {
+    pub fn remaining(&self) -> Option<u64> {
         self.limit.map(|limit| limit.saturating_sub(self.length))
     }
 
@@ -298,7 +298,7 @@
         let mut batch = Vec::new();
         for (i, payload) in payloads.iter().enumerate() {
             let payload = payload.as_ref();
-            if payload.len() > LONGEST {
+            if payload.len() > MAX_PAYLOAD_BYTES {
                 return Err(StoreError::TooLong(payload.len()));
             }
             record::encode(self.sequence + 1 + i as u64, payload, &mut batch);
@@ -309,8 +309,8 @@
         }
         if let Err(source) = self.file.write_all(&batch) {
             // Part of it may be there: the file goes back to its last whole record.
-            let undone = self.file.set_len(self.length).and_then(|()| self.file.sync_all());
-            self.poisoned = undone.is_err();
+            let truncated = self.file.set_len(self.length).and_then(|()| self.file.sync_all());
+            self.poisoned = truncated.is_err();
             return Err(match source.kind() {
                 io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => {
                     let needed = batch.len() as u64;
@@ -340,14 +340,14 @@
         if self.poisoned {
             return Err(StoreError::Poisoned(self.path.clone()));
         }
-        if state.len() > LONGEST {
+        if state.len() > MAX_PAYLOAD_BYTES {
             return Err(StoreError::TooLong(state.len()));
         }
         if self.sequence == self.base {
             return Ok(());
         }
         let base = self.sequence;
-        let mut data = Vec::with_capacity(record::HEAD + state.len());
+        let mut data = Vec::with_capacity(record::HEADER_BYTES + state.len());
         record::encode(base, state, &mut data);
         let log = log_path(&self.dir, base);
         // One may be left from a generation that was given up.
@@ -355,7 +355,7 @@
         let file = OpenOptions::new().create(true).append(true).open(&log).map_err(io_at(&log))?;
         file.sync_all().map_err(io_at(&log))?;
         let snapshot = snapshot_path(&self.dir, base);
-        if let Err(error) = write_whole(&snapshot, &data) {
+        if let Err(error) = write_atomically(&snapshot, &data) {
             // Where it stands all the same, the next start begins from it, and what is appended to the old log
             // from here on would not be read.
             self.poisoned = snapshot.exists();
@@ -376,7 +376,7 @@
 ///
 /// # Errors
 /// [`StoreError::Io`]; the old file stands.
-pub fn write_whole(path: &Path, data: &[u8]) -> Result<(), StoreError> {
+pub fn write_atomically(path: &Path, data: &[u8]) -> Result<(), StoreError> {
     // Two processes may put the same file in place, one taking over from the other.
     let temporary = path.with_extension(format!("tmp{}", std::process::id()));
     let write = || -> io::Result<()> {
--- a/src/store/log/tests.rs
+++ b/src/store/log/tests.rs
@@ -63,7 +63,7 @@
     let path = log.path.clone();
     drop(log);
     let mut data = fs::read(&path).expect("readable");
-    data[second as usize + record::HEAD + 2] ^= 4;
+    data[second as usize + record::HEADER_BYTES + 2] ^= 4;
     fs::write(&path, &data).expect("spoilt");
     for _ in 0..2 {
         let refused = dir.open().expect_err("refused");
--- a/src/store/record.rs
+++ b/src/store/record.rs
@@ -4,7 +4,7 @@
 //!
 //! | bytes | what |
 //! | --- | --- |
-//! | 4 | length of the payload in bytes, at most [`LONGEST`] |
+//! | 4 | length of the payload in bytes, at most [`MAX_PAYLOAD_BYTES`] |
 //! | 8 | sequence number, one more than that of the record before |
 //! | 4 | CRC32C of the 12 bytes before it |
 //! | 4 | CRC32C of the payload |
@@ -13,18 +13,18 @@
 //! of was being written when power was lost (*torn*), and no flipped bit can make one look so.
 
 /// Bytes before the payload.
-pub const HEAD: usize = 20;
+pub const HEADER_BYTES: usize = 20;
 /// The longest payload, in bytes; a longer one is a mistake and is refused before it is written.
-pub const LONGEST: usize = 64 << 20;
+pub const MAX_PAYLOAD_BYTES: usize = 64 << 20;
 /// Disks write whole sectors: after a power loss a file may have its new length while its last sectors were
 /// never written and read as zeros.
-const SECTOR: usize = 512;
+const SECTOR_BYTES: usize = 512;
 
 /// What stands at some offset.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Read<'a> {
     /// A whole record, and the offset after it.
-    Whole {
+    Complete {
         /// Its sequence number.
         sequence: u64,
         /// Its payload.
@@ -42,13 +42,13 @@
 
 /// Appends the record to `to`.
 pub fn encode(sequence: u64, payload: &[u8], to: &mut Vec<u8>) {
-    let mut head = [0; HEAD];
-    head[..4].copy_from_slice(&(payload.len() as u32).to_le_bytes());
-    head[4..12].copy_from_slice(&sequence.to_le_bytes());
-    let check = crc32c::crc32c(&head[..12]);
-    head[12..16].copy_from_slice(&check.to_le_bytes());
-    head[16..].copy_from_slice(&crc32c::crc32c(payload).to_le_bytes());
-    to.extend_from_slice(&head);
+    let mut header = [0; HEADER_BYTES];
+    header[..4].copy_from_slice(&(payload.len() as u32).to_le_bytes());
+    header[4..12].copy_from_slice(&sequence.to_le_bytes());
+    let checksum = crc32c::crc32c(&header[..12]);
+    header[12..16].copy_from_slice(&checksum.to_le_bytes());
+    header[16..].copy_from_slice(&crc32c::crc32c(payload).to_le_bytes());
+    to.extend_from_slice(&header);
     to.extend_from_slice(payload);
 }
 
@@ -57,9 +57,9 @@
 }
 
 /// Whether the sectors at the end of `data` were never written, from some sector after `from` on.
-fn unwritten_end(data: &[u8], from: usize) -> bool {
+fn has_unwritten_tail(data: &[u8], from: usize) -> bool {
     let written = data.iter().rposition(|b| *b != 0).map_or(0, |last| last + 1);
-    let sector = written.max(from).next_multiple_of(SECTOR);
+    let sector = written.max(from).next_multiple_of(SECTOR_BYTES);
     written <= from || sector < data.len()
 }
 
@@ -69,23 +69,23 @@
     if rest.is_empty() {
         return Read::End;
     }
-    if rest.len() < HEAD {
+    if rest.len() < HEADER_BYTES {
         return Read::Torn;
     }
-    let spoilt = |what| if unwritten_end(data, offset) { Read::Torn } else { Read::Corrupt(what) };
+    let invalid = |what| if has_unwritten_tail(data, offset) { Read::Torn } else { Read::Corrupt(what) };
     if crc32c::crc32c(&rest[..12]) != u32_at(rest, 12) {
-        return spoilt("its head");
+        return invalid("its head");
     }
     let length = u32_at(rest, 0) as usize;
-    if length > LONGEST {
+    if length > MAX_PAYLOAD_BYTES {
         return Read::Corrupt("its length");
     }
-    let Some(payload) = rest.get(HEAD..HEAD + length) else { return Read::Torn };
+    let Some(payload) = rest.get(HEADER_BYTES..HEADER_BYTES + length) else { return Read::Torn };
     if crc32c::crc32c(payload) != u32_at(rest, 16) {
-        return spoilt("its payload");
+        return invalid("its payload");
     }
     let sequence = u64::from(u32_at(rest, 4)) | u64::from(u32_at(rest, 8)) << 32;
-    Read::Whole { sequence, payload, next: offset + HEAD + length }
+    Read::Complete { sequence, payload, next: offset + HEADER_BYTES + length }
 }
 
 #[cfg(test)]
--- a/src/store/record/tests.rs
+++ b/src/store/record/tests.rs
@@ -25,9 +25,9 @@
     let (data, at) = three();
     for byte in at[0]..at[1] {
         for bit in 0..8 {
-            let mut spoilt = data.clone();
-            spoilt[byte] ^= 1 << bit;
-            assert!(matches!(read(&spoilt, 0), Read::Corrupt(_)), "byte {byte} bit {bit}");
+            let mut corrupted = data.clone();
+            corrupted[byte] ^= 1 << bit;
+            assert!(matches!(read(&corrupted, 0), Read::Corrupt(_)), "byte {byte} bit {bit}");
         }
     }
 }
@@ -39,14 +39,14 @@
         at = data.len();
         encode(sequence, &[7; 2000], &mut data);
     }
-    let mut spoilt = data.clone();
-    spoilt[at + HEAD + 1000..].fill(0);
-    assert_eq!(read(&spoilt, at), Read::Torn, "the end of its payload");
-    spoilt[at..].fill(0);
-    assert_eq!(read(&spoilt, at), Read::Torn, "all of it");
-    let mut spoilt = data;
-    spoilt[at - 3] = 0;
-    assert!(matches!(read(&spoilt, 0), Read::Corrupt(_)), "one zero in the middle is no tear");
+    let mut corrupted = data.clone();
+    corrupted[at + HEADER_BYTES + 1000..].fill(0);
+    assert_eq!(read(&corrupted, at), Read::Torn, "the end of its payload");
+    corrupted[at..].fill(0);
+    assert_eq!(read(&corrupted, at), Read::Torn, "all of it");
+    let mut corrupted = data;
+    corrupted[at - 3] = 0;
+    assert!(matches!(read(&corrupted, 0), Read::Corrupt(_)), "one zero in the middle is no tear");
 }
 
 proptest! {
@@ -65,7 +65,7 @@
         }
         let mut at = 0;
         for (i, payload) in payloads.iter().enumerate() {
-            let Read::Whole { sequence, payload: read, next } = read(&data, at) else {
+            let Read::Complete { sequence, payload: read, next } = read(&data, at) else {
                 return Err(TestCaseError::fail("not whole"));
             };
             prop_assert_eq!((sequence, read), (i as u64, &payload[..]));
--- a/tests/schedules.rs
+++ b/tests/schedules.rs
@@ -15,7 +15,7 @@
 use hollowpaddle::lease::table::{LeaseCommand, Token};
 use hollowpaddle::replica::command::{Command, Fence, Outcome};
 use hollowpaddle::replica::core::{ProposalId, Replica, decode, encode};
-use hollowpaddle::replica::storage::{Kept, Record};
+use hollowpaddle::replica::storage::{RaftStorage, Record};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -25,7 +25,7 @@
 const HEALED_STEPS: u64 = 400;
 const TTL_MS: u64 = 300;
 
-/// A machine's clock: its rate is within what `lease::holder::DRIFT` allows of any other's.
+/// A machine's clock: its rate is within what `lease::holder::CLOCK_DRIFT_DIVISOR` allows of any other's.
 #[derive(Clone, Copy)]
 struct Clock(f64);
 
@@ -141,7 +141,7 @@
     fn boot(&mut self, i: usize) {
         let voters = (1..=self.instances.len() as u64).collect();
         let at = &mut self.instances[i];
-        let kept = Kept::restore(voters, at.whole.as_deref(), &at.disk).expect("its own records");
+        let kept = RaftStorage::restore(voters, at.whole.as_deref(), &at.disk).expect("its own records");
         self.next += 1;
         let again = Duration::from_millis(100);
         let replica = Replica::new::<Infallible>(i as u64 + 1, kept, 64, self.next, again);
@@ -245,7 +245,7 @@
             }
         }
         let disk = &mut at.disk;
-        let turn = replica.turn(local, |records: &[Record]| {
+        let turn = replica.process_ready(local, |records: &[Record]| {
             disk.extend(records.iter().map(|r| postcard::to_stdvec(r).expect("a record")));
             Ok::<_, Infallible>(())
         });
@@ -299,7 +299,7 @@
             process.out = None;
         }
         if let Some((_, asked)) = process.out {
-            if local >= asked + process.holder.patience() {
+            if local >= asked + process.holder.call_timeout() {
                 process.out = None;
                 process.holder.unanswered(local);
             } else if process.holder.until().is_none_or(|until| local < until) {
