--- a/src/replica/command.rs
+++ b/src/replica/command.rs
@@ -1,4 +1,4 @@
-//! What may be asked of the replicated state, and what comes of it.
+//! The commands of the replicated state, and their outcomes.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,10 +6,11 @@
 use crate::discovery::member::{Member, Phase};
 use crate::lease::table::{Grant, LeaseCommand, Refusal, Token};
 
-/// The duty under whose token a write is made; the write is refused once that is not the live one.
+/// The duty and token under which a write is made. The write is refused unless the token is that of the live
+/// grant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fence {
-    /// The duty.
+    /// The name of the duty.
     pub duty: String,
     /// The token of its grant.
     pub token: Token,
@@ -19,47 +20,48 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "Form", into = "Form")]
 pub enum Command {
-    /// The very first list; of no effect once there is one.
+    /// Sets the initial list; has no effect once there is one.
     Seed {
-        /// Its revision before the members.
+        /// The revision of the list before the members are added.
         revision: u64,
-        /// Its members.
+        /// The initial members.
         members: Vec<Member>,
     },
-    /// Puts a member in, or its new entry in place of the old.
+    /// Adds a member, or replaces its entry.
     Register {
-        /// The entry.
+        /// The new entry.
         member: Member,
-        /// Milliseconds it stays without a renewal; `None` for good.
+        /// How long the member stays without a renewal, in milliseconds; `None` for no limit.
         ttl_ms: Option<u64>,
         /// The duty this write is part of.
         fence: Option<Fence>,
     },
-    /// Changes a member's phase: an operator's word, or the release controller's. `Deleted` takes it out.
+    /// Changes a member's phase, for an operator or the release controller. `Deleted` removes the member.
     SetPhase {
-        /// The member.
+        /// The id of the member.
         id: String,
-        /// Its phase from now on.
+        /// The new phase.
         phase: Phase,
         /// The duty this write is part of.
         fence: Option<Fence>,
     },
-    /// The leader saw the TTL of a member pass: it drains, and if it did already, it goes.
+    /// The TTL of a member passed on the leader: the member starts draining, or is removed if it was draining
+    /// already.
     Lapse {
-        /// The member.
+        /// The id of the member.
         id: String,
     },
-    /// A member that had lapsed was renewed: it serves again.
+    /// An expired member was renewed: it serves again.
     Revive {
-        /// The member.
+        /// The id of the member.
         id: String,
     },
-    /// About a duty.
+    /// A command about a duty.
     Lease(LeaseCommand),
 }
 
 impl Command {
-    /// Whether it has an entry in a service.
+    /// Whether the command holds a member that belongs to a service.
     pub fn in_service(&self) -> bool {
         match self {
             Self::Seed { members, .. } => members.iter().any(|m| !m.service.is_empty()),
@@ -69,8 +71,9 @@
     }
 }
 
-/// A command as it is kept and sent: the place of a variant is its number, so new ones come last. A version that
-/// doesn't know a number refuses the entry ([`crate::discovery::kept`]).
+/// The encoding of a command on disk and between instances. A variant is encoded as its position, so new
+/// variants must come last. A version that doesn't know a position refuses the entry
+/// ([`crate::discovery::kept`]).
 #[derive(Clone, Serialize, Deserialize)]
 enum Form {
     SeedV1 { revision: u64, members: Vec<MemberV1> },
@@ -121,16 +124,16 @@
     }
 }
 
-/// What came of a command.
+/// The outcome of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Done; the list is at this revision.
+    /// Applied; the list is at this revision.
     Revision(u64),
-    /// The duty's grant as it stands now.
+    /// The duty's grant after the command; `None` where the duty is free.
     Grant(Option<Grant>),
-    /// No such member.
+    /// There is no such member.
     Unknown,
-    /// A token or lease stood in the way.
+    /// Refused because of a stale token, a lease held by another, or invalid values.
     Refused(Refusal),
 }
 
--- a/src/replica/command/tests.rs
+++ b/src/replica/command/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::discovery::kept::tests::{OldMember, new, old};
 
-/// A command as versions without services write it.
+/// A command as versions without services encode it.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 enum OldCommand {
     Seed { revision: u64, members: Vec<OldMember> },
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn the_log_of_versions_without_services_is_read_and_what_needs_none_is_written_the_same() {
+fn commands_without_services_keep_the_old_encoding() {
     let (id, phase, duty) = (|| "a".to_owned(), Phase::Deleted, || "d".to_owned());
     let members = || vec![old("a"), old("b")];
     let lease = || LeaseCommand::Renew { duty: duty(), token: 7 };
@@ -38,22 +38,22 @@
         (OldCommand::Revive { id: id() }, Command::Revive { id: id() }),
         (OldCommand::Lease(lease()), Command::Lease(lease())),
     ];
-    for (was, is) in pairs {
-        let kept = postcard::to_stdvec(&was).expect("kept");
-        assert_eq!(postcard::from_bytes(&kept), Ok(is.clone()));
-        assert_eq!(postcard::to_stdvec(&is), Ok(kept), "{is:?}");
+    for (previous, current) in pairs {
+        let encoded = postcard::to_stdvec(&previous).expect("encoded");
+        assert_eq!(postcard::from_bytes(&encoded), Ok(current.clone()));
+        assert_eq!(postcard::to_stdvec(&current), Ok(encoded), "{current:?}");
     }
 }
 
 #[test]
-fn a_command_in_a_service_is_read_back_and_refused_by_the_versions_without() {
+fn old_versions_refuse_a_command_with_a_service() {
     let members = vec![new("a", ""), new("b", "s")];
     for command in [
         Command::Seed { revision: 300, members },
         Command::Register { member: new("a", "s"), ttl_ms: Some(900), fence: fence() },
     ] {
-        let kept = postcard::to_stdvec(&command).expect("kept");
-        assert_eq!(postcard::from_bytes(&kept), Ok(command));
-        assert!(postcard::from_bytes::<OldCommand>(&kept).is_err(), "refused, not misread");
+        let encoded = postcard::to_stdvec(&command).expect("encoded");
+        assert_eq!(postcard::from_bytes(&encoded), Ok(command));
+        assert!(postcard::from_bytes::<OldCommand>(&encoded).is_err(), "refused, not misread");
     }
 }
--- a/src/replica/core.rs
+++ b/src/replica/core.rs
@@ -1,5 +1,6 @@
-//! One instance's part in the consensus, and the state it has built so far. Told messages, proposals and time;
-//! answers with what to keep, what to send, and what came of proposals. Pure: no I/O, no clock.
+//! One instance's Raft node and the state machine it has built so far. Takes messages, proposals and the time
+//! as input; returns the records to persist, the messages to send and the outcomes of proposals. Pure: no I/O,
+//! no clock.
 
 use std::time::Duration;
 
@@ -13,79 +14,79 @@
 use crate::lease::expiry::Expiry;
 use crate::lease::table::{LeaseCommand, Token};
 
-/// Elections begin after this many ticks without word of a leader, at the earliest; and a leader gives word
-/// every [`HEARTBEAT_TICKS`].
+/// Ticks without a message from a leader after which a follower may start an election, at the earliest.
 pub const ELECTION_TICKS: usize = 10;
-/// Ticks between a leader's heartbeats.
+/// Ticks between the heartbeats of a leader.
 pub const HEARTBEAT_TICKS: usize = 2;
-/// The most bytes of entries in one message.
+/// Maximum size of the entries in one message, in bytes.
 const MESSAGE_BYTES: u64 = 1 << 20;
-/// The most bytes of proposals that wait for a majority.
+/// Maximum size of the proposals that wait for a majority, in bytes.
 const UNCOMMITTED_BYTES: u64 = 16 << 20;
 
-/// Tells proposals apart: unique to this process and start.
+/// Identifies a proposal; unique to this process and start.
 pub type ProposalId = [u8; 16];
 
-/// Why an instance could not go on.
+/// Why an instance cannot continue.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplicaError<E: std::error::Error + 'static> {
-    /// The consensus refused; a defect, or a state directory that is not this instance's.
+    /// Raft returned an error: a bug, or a state directory that belongs to another instance.
     #[error("consensus: {0}")]
     Raft(#[from] raft::Error),
-    /// What is kept can't be read.
+    /// Stored data cannot be decoded.
     #[error("{0}")]
     Decode(#[from] DecodeError),
-    /// Keeping failed. The same records are tried again at the next turn; nothing that depends on them is sent
-    /// before.
+    /// Persisting failed. The next call of [`Replica::process_ready`] retries the same records; nothing that
+    /// depends on them is sent before.
     #[error("keep: {0}")]
     Persist(E),
-    /// An error before was final.
+    /// An earlier error was final.
     #[error("stopped")]
     Stopped,
 }
 
-/// Why a proposal was not taken.
+/// Why a proposal was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposalRejected {
-    /// Another leads, if anyone does; it is to be asked.
+    /// Another instance leads, or none does; holds the leader to ask, where it is known.
     #[error("not the leader")]
     NotLeader(Option<u64>),
-    /// The leader has as much as it may hold, or is handing over.
+    /// The leader has reached its limit of uncommitted proposals, is transferring leadership, or cannot write
+    /// to disk.
     #[error("busy")]
     Busy,
 }
 
-/// What a turn has to send and tell.
+/// The messages to send and the results to report after one round of processing.
 #[derive(Debug, Default)]
 pub struct ReadySet {
-    /// To other instances, `to` says which.
+    /// Messages to other instances; `to` holds the receiver.
     pub messages: Vec<Message>,
-    /// Outcomes of commands in the order of the log, of this instance's proposals and others'.
+    /// Outcomes of applied commands in log order, for proposals of this instance and of others.
     pub outcomes: Vec<(ProposalId, Outcome)>,
-    /// Grants that ended for want of a renewal, as the leader saw it: the duty and the token.
+    /// Duty and token of each grant that expired without a renewal. Filled in by the leader only.
     pub expired: Vec<(String, Token)>,
-    /// Whether the leader, as known here, has changed.
+    /// Whether the leader known to this instance has changed.
     pub leader_changed: bool,
 }
 
-/// A lapse the leader looks out for.
+/// What the leader tracks a TTL for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum ExpiryKey {
     Duty(String),
     Member(String),
 }
 
-/// One instance.
+/// One instance of the replicated state machine.
 pub struct Replica {
     raft: RawNode<RaftStorage>,
     machine: Machine,
     expiry: Expiry<ExpiryKey>,
-    /// Whether this instance has led since `expiry` was started anew.
+    /// Whether this instance leads and has rebuilt `expiry` since its election.
     leading: bool,
     leader: u64,
-    /// What could not be kept yet.
+    /// A ready set whose records could not be persisted yet.
     unpersisted: Option<raft::Ready>,
-    /// Whether an error was final: what was decided could not be carried out, and nothing after it may be.
+    /// Set after a final error: a committed entry could not be applied, so no later one may be applied either.
     stopped: bool,
     proposal_retry: Duration,
     proposals: u64,
@@ -93,8 +94,9 @@
 }
 
 impl Replica {
-    /// An instance over what it kept. `history` is the list's, where there is no state yet; `nonce` differs
-    /// from start to start; `again` is how long a lapse that was proposed may take to be decided.
+    /// Creates an instance from its stored state. `history` is the number of list changes to retain, used where
+    /// there is no state yet; `nonce` must differ from start to start; `proposal_retry` is how long to wait for
+    /// a proposed expiry to be committed before it is proposed again.
     ///
     /// # Errors
     /// [`ReplicaError::Decode`] and [`ReplicaError::Raft`].
@@ -138,7 +140,7 @@
         })
     }
 
-    /// The state built so far.
+    /// The state built from the entries applied so far.
     pub fn machine(&self) -> &Machine {
         &self.machine
     }
@@ -153,23 +155,23 @@
         Some(self.raft.raft.leader_id).filter(|id| *id != 0)
     }
 
-    /// Whether this instance leads, as far as it knows: a commit proves it, this does not.
+    /// Whether this instance believes that it leads. Only a commit proves that it does.
     pub fn leads(&self) -> bool {
         self.raft.raft.state == StateRole::Leader
     }
 
-    /// The term it is in.
+    /// The current Raft term of this instance.
     pub fn term(&self) -> u64 {
         self.raft.raft.term
     }
 
-    /// Begins an election at once; for one that is alone, and for tests.
+    /// Starts an election at once. For single-instance clusters and tests.
     pub fn campaign(&mut self) {
         let _ = self.raft.campaign();
     }
 
-    /// One tick of the election clock has passed; the leader looks for what has lapsed by `now`, on its own
-    /// monotonic clock.
+    /// Advances the election clock by one tick. The leader also proposes the expiry of leases and members whose
+    /// TTL has passed by `now`, on its own monotonic clock.
     pub fn tick(&mut self, now: Duration) {
         if self.unpersisted.is_some() || self.stopped {
             return;
@@ -192,8 +194,8 @@
         }
     }
 
-    /// A member was renewed at `now`; whether it is one that this leader watches. One that had lapsed serves
-    /// again once that is decided.
+    /// Records that a member was renewed at `now`. Returns whether this leader tracks a TTL for it. An expired
+    /// member serves again once the command for that is committed.
     ///
     /// # Errors
     /// [`ProposalRejected`] where this instance does not lead.
@@ -210,11 +212,12 @@
         Ok(true)
     }
 
-    /// Hands a command to the log. Its outcome comes with a later turn under the id returned; none comes if
-    /// the leader changes before a majority has it, and then it may or may not be carried out.
+    /// Appends a command to the log. A later call of [`Replica::process_ready`] returns its outcome under the
+    /// returned id. If the leader changes before a majority has stored the command, there is no outcome, and
+    /// the command may or may not be applied.
     ///
     /// # Errors
-    /// [`ProposalRejected`]: it will not be carried out.
+    /// [`ProposalRejected`]: the command will not be applied.
     pub fn propose(&mut self, command: &Command) -> Result<ProposalId, ProposalRejected> {
         if self.unpersisted.is_some() || self.stopped {
             return Err(ProposalRejected::Busy);
@@ -231,43 +234,44 @@
         Ok(id)
     }
 
-    /// Takes a message from another instance. One that says this instance had kept what it has not (its state
-    /// directory was emptied) is refused: its votes are gone too, and going on could undo what was decided.
+    /// Processes a message from another instance. A heartbeat that commits entries which are missing here is
+    /// rejected: this instance had acknowledged them, so its state directory was emptied. Its votes are lost
+    /// too, and taking part again could undo committed entries.
     ///
     /// # Errors
-    /// What is wrong with the message; it was left aside.
+    /// What is wrong with the message, which was ignored.
     pub fn step(&mut self, message: Message) -> Result<(), String> {
         let kind = message.get_msg_type();
         if message.to != self.id() {
-            return Err(format!("a message for instance {}", message.to));
+            return Err(format!("message addressed to instance {}", message.to));
         }
         if raft::raw_node::is_local_msg(kind) {
-            return Err(format!("{kind:?} is no message between instances"));
+            return Err(format!("{kind:?} is a local message, not valid between instances"));
         }
         let last = self.raft.raft.raft_log.last_index();
         if kind == MessageType::MsgHeartbeat && message.commit > last {
             return Err(format!(
-                "the leader says that entry {} was kept here, where the last is {last}: \
+                "the leader reports entry {} as stored here, but the last entry is {last}: \
                  this instance's state directory was lost",
                 message.commit
             ));
         }
         if self.unpersisted.is_some() {
-            return Err("the disk takes nothing".into());
+            return Err("the last write to disk failed; message ignored".into());
         }
         if self.stopped {
-            return Err("this instance takes no further part".into());
+            return Err("this instance has stopped participating".into());
         }
         self.raft.step(message).map_err(|e| e.to_string())
     }
 
-    /// Does what has become due: keeps, then applies what is decided, then says what to send. `keep` returns once
-    /// the records are on disk.
+    /// Persists new records, applies committed entries and collects the messages to send. `persist` must return
+    /// only once the records are on disk.
     ///
     /// # Errors
-    /// [`ReplicaError::Persist`] may be tried again; the others are final: an entry that was decided and can't be read
-    /// here (a later version's) must not be passed over, or this instance would tell another list under the same
-    /// revisions. Started again as a version that reads it, it goes on from there.
+    /// [`ReplicaError::Persist`] can be retried; the others are final. A committed entry that cannot be decoded
+    /// here (written by a later version) must not be skipped, or this instance would serve a different list
+    /// under the same revisions. Restarted as a version that can decode the entry, it continues from there.
     pub fn process_ready<E: std::error::Error>(
         &mut self,
         now: Duration,
@@ -276,9 +280,9 @@
         if self.stopped {
             return Err(ReplicaError::Stopped);
         }
-        let ready_set = self.persist_and_apply(now, persist);
-        self.stopped = matches!(&ready_set, Err(error) if !matches!(error, ReplicaError::Persist(_)));
-        ready_set
+        let result = self.persist_and_apply(now, persist);
+        self.stopped = matches!(&result, Err(error) if !matches!(error, ReplicaError::Persist(_)));
+        result
     }
 
     fn persist_and_apply<E: std::error::Error>(
@@ -332,7 +336,7 @@
     ) -> Result<(), DecodeError> {
         for entry in entries {
             if entry.data.is_empty() {
-                continue; // A leader's first entry of its term.
+                continue; // A new leader starts its term with an empty entry.
             }
             let command: Command = postcard::from_bytes(&entry.data)?;
             let renewed_key = self.leading.then(|| expiry_key(&command)).flatten();
@@ -343,7 +347,7 @@
                 _ => None,
             };
             let outcome = self.machine.apply(command);
-            // What was refused, and an expiry that a renewal forestalled, must not lengthen a lease.
+            // A refused command, or an expiry that a renewal preceded, must not extend a lease.
             let no_effect = match &outcome {
                 Outcome::Refused(_) => true,
                 Outcome::Grant(grant) => expires.is_some() && grant.is_some(),
@@ -360,7 +364,8 @@
         Ok(())
     }
 
-    /// A lease or member was decided on: its TTL runs from now, or there is none any more.
+    /// Updates the deadline of a lease or member after a committed command: its TTL starts at `now`, or it is
+    /// no longer tracked.
     fn track_expiry(&mut self, key: ExpiryKey, now: Duration) {
         let ttl_ms = match &key {
             ExpiryKey::Duty(duty) => {
@@ -375,7 +380,8 @@
         }
     }
 
-    /// A leader that is new starts every TTL anew, once it has applied all that was decided before its term.
+    /// Restarts all TTLs when this instance becomes leader and has applied every entry committed before its
+    /// term.
     fn update_leadership(&mut self, now: Duration) {
         let raft = &self.raft.raft;
         let leads = raft.state == StateRole::Leader
@@ -394,7 +400,8 @@
         }
     }
 
-    /// Has the follower that is furthest take over, if this instance leads and there is one; whether it still leads.
+    /// Transfers leadership to the most up-to-date follower, if this instance leads and there is one. Returns
+    /// whether it still leads and has a follower.
     pub fn transfer_leadership(&mut self) -> bool {
         let own = self.id();
         let followers = self.raft.raft.prs().iter().filter(|(id, _)| **id != own);
@@ -406,23 +413,23 @@
         leads && to.is_some()
     }
 
-    /// Messages to this instance were lost. A snapshot may have been among them: until it is told of its end, the
-    /// consensus sends that instance nothing but heartbeats.
+    /// Reports that messages to an instance were lost. A snapshot may have been among them: until Raft is told
+    /// how the snapshot ended, it sends that instance nothing but heartbeats.
     pub fn unreachable(&mut self, id: u64) {
         self.raft.report_unreachable(id);
         self.raft.report_snapshot(id, SnapshotStatus::Failure);
     }
 
-    /// This instance has taken a snapshot; what it said to that may be lost.
+    /// Reports that an instance has received a snapshot; its own response to the snapshot may be lost.
     pub fn snapshot_delivered(&mut self, id: u64) {
         self.raft.report_snapshot(id, SnapshotStatus::Finish);
     }
 
-    /// Takes the state as the newest snapshot, and gives everything that is to be kept in place of the records
-    /// so far.
+    /// Takes the current state as the newest snapshot and returns an encoded checkpoint that replaces all
+    /// records stored so far.
     ///
     /// # Errors
-    /// [`DecodeError`], which is not expected of what is held in memory.
+    /// [`DecodeError`]; not expected for data that is held in memory.
     pub fn compact(&mut self) -> Result<Vec<u8>, DecodeError> {
         let applied = self.raft.raft.raft_log.applied;
         let state = postcard::to_stdvec(&self.machine)?;
@@ -432,7 +439,7 @@
     }
 }
 
-/// The lease or member whose TTL a command starts anew or ends.
+/// The lease or member whose TTL a command restarts or ends.
 fn expiry_key(command: &Command) -> Option<ExpiryKey> {
     match command {
         Command::Register { member, .. } => Some(ExpiryKey::Member(member.id.clone())),
@@ -449,18 +456,18 @@
     }
 }
 
-/// A message as it travels between instances.
+/// Encodes a message for another instance.
 ///
 /// # Errors
-/// [`DecodeError`].
+/// [`DecodeError`] where it cannot be encoded.
 pub fn encode(message: &Message) -> Result<Vec<u8>, DecodeError> {
     Ok(message.write_to_bytes()?)
 }
 
-/// A message as it came.
+/// Decodes a message from another instance.
 ///
 /// # Errors
-/// [`DecodeError`] for what is none.
+/// [`DecodeError`] where the data is not a valid message.
 pub fn decode(data: &[u8]) -> Result<Message, DecodeError> {
     Ok(Message::parse_from_bytes(data)?)
 }
--- a/src/replica/core/tests.rs
+++ b/src/replica/core/tests.rs
@@ -3,12 +3,13 @@
 use super::*;
 use crate::replica::storage::RETAINED_ENTRIES;
 
-/// An instance that is alone and leads.
-fn alone() -> Replica {
+/// A single instance that has elected itself leader.
+fn single_leader() -> Replica {
     let (storage, proposal_retry) = (RaftStorage::new(vec![1]), Duration::from_secs(1));
-    let mut replica = Replica::new::<Infallible>(1, storage, 64, 1, proposal_retry).expect("starts");
+    let mut replica =
+        Replica::new::<Infallible>(1, storage, 64, 1, proposal_retry).expect("starts");
     replica.campaign();
-    replica.process_ready(Duration::ZERO, persist).expect("goes on");
+    replica.process_ready(Duration::ZERO, persist).expect("processed");
     replica
 }
 
@@ -17,11 +18,11 @@
 }
 
 #[test]
-fn an_entry_that_this_version_cannot_read_is_not_passed_over() {
-    let mut replica = alone();
+fn undecodable_entry_stops_the_instance() {
+    let mut replica = single_leader();
     let seed = Command::Seed { revision: 40, members: vec![] };
     replica.propose(&seed).expect("leads");
-    // What a later version may have written.
+    // An entry as a later version may write it.
     replica.raft.propose(vec![], vec![0x63, 1, 2]).expect("leads");
     let grant = LeaseCommand::Acquire { duty: "d".into(), holder: "h".into(), ttl_ms: 1000 };
     replica.propose(&Command::Lease(grant.clone())).expect("leads");
@@ -30,14 +31,17 @@
     for _ in 0..3 {
         replica.tick(Duration::ZERO);
         assert_eq!(replica.propose(&Command::Lease(grant.clone())), Err(ProposalRejected::Busy));
-        assert!(matches!(replica.process_ready(Duration::ZERO, persist), Err(ReplicaError::Stopped)));
+        assert!(matches!(
+            replica.process_ready(Duration::ZERO, persist),
+            Err(ReplicaError::Stopped)
+        ));
     }
-    assert_eq!(replica.machine().list().revision(), 40, "what came before it was carried out");
-    assert!(replica.machine().leases().duties().is_empty(), "and nothing after it");
+    assert_eq!(replica.machine().list().revision(), 40, "earlier entries are applied");
+    assert!(replica.machine().leases().duties().is_empty(), "later entries are not applied");
 }
 
 /// Three instances, the first of which leads.
-fn three() -> Vec<Replica> {
+fn three_instances() -> Vec<Replica> {
     let one = |id| {
         let (storage, proposal_retry) = (RaftStorage::new(vec![1, 2, 3]), Duration::from_secs(1));
         Replica::new::<Infallible>(id, storage, 64, id, proposal_retry).expect("starts")
@@ -52,10 +56,12 @@
     all
 }
 
-/// Carries messages, those that `passes` lets through, until there are no more.
+/// Delivers the messages for which `delivered` returns true, until no instance sends any more.
 fn deliver(all: &mut [Replica], mut delivered: impl FnMut(&Message) -> bool) {
     loop {
-        let process_ready = |r: &mut Replica| r.process_ready(Duration::ZERO, persist).expect("goes on").messages;
+        let process_ready = |r: &mut Replica| {
+            r.process_ready(Duration::ZERO, persist).expect("processed").messages
+        };
         let sent: Vec<Message> = all.iter_mut().flat_map(process_ready).collect();
         if sent.is_empty() {
             return;
@@ -66,13 +72,14 @@
     }
 }
 
-/// One tick of all clocks, and what comes of it.
+/// Advances all clocks by one tick and delivers the resulting messages.
 fn tick(all: &mut [Replica], delivered: impl FnMut(&Message) -> bool) {
     all.iter_mut().for_each(|r| r.tick(Duration::ZERO));
     deliver(all, delivered);
 }
 
-/// Decides on more than is kept before a snapshot, of which the third instance hears nothing, and compacts the log.
+/// Commits more entries than are retained before a snapshot while the third instance receives none, then
+/// compacts the log.
 fn third_falls_behind(all: &mut [Replica]) {
     for i in 0..2 * RETAINED_ENTRIES {
         let duty = format!("d-{i}");
@@ -83,16 +90,16 @@
     all[0].compact().expect("compacts");
 }
 
-fn caught_up(all: &[Replica]) -> bool {
+fn third_caught_up(all: &[Replica]) -> bool {
     let duties = |r: &Replica| r.machine().leases().duties().len();
     duties(&all[2]) == duties(&all[0]) && duties(&all[0]) > 0
 }
 
-/// Guards against: a snapshot that was lost on its way, of whose loss nobody told the consensus, so that its instance
-/// got nothing but heartbeats until another led.
+/// Guards against a lost snapshot that nobody reported to Raft: the receiver then got nothing but heartbeats
+/// until the leader changed.
 #[test]
-fn a_snapshot_that_was_lost_is_sent_again() {
-    let mut all = three();
+fn lost_snapshot_is_sent_again() {
+    let mut all = three_instances();
     third_falls_behind(&mut all);
     let mut lost = 0;
     for _ in 0..4 * HEARTBEAT_TICKS {
@@ -102,39 +109,40 @@
             !snapshot
         });
     }
-    assert!(lost > 0 && !caught_up(&all), "{lost} lost");
+    assert!(lost > 0 && !third_caught_up(&all), "{lost} lost");
     all[0].unreachable(3);
     (0..2 * HEARTBEAT_TICKS).for_each(|_| tick(&mut all, |_| true));
-    assert!(caught_up(&all));
+    assert!(third_caught_up(&all));
 }
 
-/// Guards against: the same where what it answered to the snapshot was lost.
+/// Guards against a lost response to a snapshot: without a report of its delivery, the receiver gets nothing
+/// but heartbeats.
 #[test]
-fn an_instance_whose_word_on_a_snapshot_was_lost_is_told_what_follows() {
-    let mut all = three();
+fn entries_follow_a_snapshot_whose_response_was_lost() {
+    let mut all = three_instances();
     third_falls_behind(&mut all);
-    let mut taken = 0;
+    let mut snapshots = 0;
     for _ in 0..4 * HEARTBEAT_TICKS {
         tick(&mut all, |m| {
-            taken += usize::from(m.get_msg_type() == MessageType::MsgSnapshot);
-            taken == 0 || m.from != 3 || m.get_msg_type() != MessageType::MsgAppendResponse
+            snapshots += usize::from(m.get_msg_type() == MessageType::MsgSnapshot);
+            snapshots == 0 || m.from != 3 || m.get_msg_type() != MessageType::MsgAppendResponse
         });
     }
-    assert!(taken > 0 && caught_up(&all), "{taken} taken");
+    assert!(snapshots > 0 && third_caught_up(&all), "{snapshots} snapshots");
     let grant = LeaseCommand::Acquire { duty: "e".into(), holder: "h".into(), ttl_ms: 60_000 };
     all[0].propose(&Command::Lease(grant)).expect("leads");
     deliver(&mut all, |_| true);
     all[0].snapshot_delivered(3);
     (0..2 * HEARTBEAT_TICKS).for_each(|_| tick(&mut all, |_| true));
-    assert!(caught_up(&all));
+    assert!(third_caught_up(&all));
 }
 
 #[test]
-fn one_that_was_cut_off_and_comes_back_unseats_nobody() {
-    let mut all = three();
+fn rejoining_instance_does_not_disrupt_the_leader() {
+    let mut all = three_instances();
     let terms = |all: &[Replica]| all.iter().map(|r| (r.term(), r.leader())).collect::<Vec<_>>();
     let before = terms(&all);
-    // Long enough for it to have begun an election many times.
+    // Long enough for many election timeouts.
     for _ in 0..10 * ELECTION_TICKS {
         tick(&mut all, |m| m.to != 3 && m.from != 3);
     }
--- a/src/replica/host.rs
+++ b/src/replica/host.rs
@@ -1,5 +1,5 @@
-//! The I/O of one instance: its state directory, its peers, its clock, and those who wait for outcomes. Runs on
-//! a current-thread runtime inside a `LocalSet`.
+//! The I/O of one instance: its state directory, its peers, its clock, and the callers waiting for outcomes.
+//! Runs on a current-thread runtime inside a `LocalSet`.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashMap};
@@ -22,56 +22,57 @@
 use crate::calls::Line;
 use crate::store::{Log, Opened, Recovery, StoreError};
 
-/// How long a write may wait for a majority before its caller is told that nobody knows.
+/// How long a write may wait for a majority before its caller is told that the outcome is unknown.
 const DECISION_TIMEOUT: Duration = Duration::from_secs(3);
-/// Wait before a snapshot that failed is tried again: the disk is full, and it would only be written in vain.
+/// Delay before a failed snapshot is retried. The usual cause is a full disk, where an immediate retry would
+/// fail too.
 const SNAPSHOT_RETRY_DELAY: Duration = Duration::from_secs(5);
-/// How long a peer may take to answer before its connection is given up.
+/// How long a peer may take to answer before its connection is closed.
 const PEER_CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Messages that wait for a peer; what is beyond is dropped, and sent anew by the consensus.
+/// Maximum number of messages queued for a peer. Further ones are dropped; Raft sends them again.
 const PEER_QUEUE_MESSAGES: usize = 1024;
-/// The most bytes of messages in one call to a peer; a snapshot may be one message of many.
+/// Maximum size of one call to a peer, in bytes. A snapshot may be one of several messages in it.
 pub const PEER_CALL_MAX_BYTES: usize = 64 << 20;
-/// Bytes of log that only the consensus itself may use, so that an instance whose log is full still votes.
+/// Bytes of log reserved for Raft's own records, so that an instance whose log is full can still vote.
 const CONSENSUS_RESERVE_BYTES: u64 = 8 << 10;
 
-/// What an instance answers to its peers' messages: the forms that it reads ([`crate::discovery::kept`]). Versions
-/// without services answer `{}`.
+/// The answer to peers' messages: the formats that this instance can read ([`crate::discovery::kept`]).
+/// Versions without services answer `{}`.
 pub const FORMS: &str = "{\"forms\":2}";
 
-/// How one instance is set up.
+/// The settings of one instance.
 #[derive(Debug)]
 pub struct Setup<'a> {
-    /// Its number.
+    /// The number of this instance.
     pub id: u64,
-    /// All instances' numbers and management addresses, this one's too.
+    /// Numbers and management addresses of all instances, including this one.
     pub peers: Vec<(u64, SocketAddr)>,
-    /// Its state directory; in memory without one.
+    /// The state directory; without one, the state is held in memory only.
     pub state_dir: Option<&'a Path>,
-    /// How a corrupt one is opened.
+    /// How a corrupt state directory is opened.
     pub recovery: Recovery,
-    /// The most bytes of log between snapshots.
+    /// Maximum size of the log between snapshots, in bytes.
     pub max_log_bytes: Option<u64>,
-    /// Bytes of log after which a snapshot is written.
+    /// Size of the log, in bytes, above which a snapshot is written.
     pub snapshot_bytes: u64,
-    /// The shortest time without a leader before an election.
+    /// The shortest time without a leader before an election starts.
     pub election: Duration,
-    /// Changes that the list keeps for watches.
+    /// Number of list changes retained for watches.
     pub history: usize,
-    /// The first list: its revision before the members, and those.
+    /// The initial list: its revision before the members are added, and the members.
     pub seed: (u64, Vec<crate::discovery::member::Member>),
 }
 
 /// Why an instance did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum HostError {
-    /// Its state directory.
+    /// The state directory could not be opened.
     #[error("state: {0}")]
     Store(#[from] StoreError),
-    /// What is in it.
+    /// The stored state could not be decoded.
     #[error("state: {0}")]
     Decode(#[from] DecodeError),
-    /// The consensus.
+    /// Raft could not be started.
     #[error("{0}")]
     Replica(#[from] ReplicaError<StoreError>),
 }
@@ -79,39 +80,39 @@
 /// Why a write was not acknowledged.
 #[derive(Debug, thiserror::Error)]
 pub enum WriteError {
-    /// Not done: another instance decides, at this management address, if it is known.
+    /// Not applied: another instance leads; holds its management address, where it is known.
     #[error("another instance leads")]
     NotLeader(Option<SocketAddr>),
-    /// Not done: too much waits.
+    /// Not applied: too many writes are waiting.
     #[error("too much waits to be decided")]
     Busy,
-    /// Not done: these instances may be of a version that can't read what has a service in it, for none is in the
-    /// list yet, and they have not said that they can.
+    /// Not applied: the command holds the first service of the list, and these instances have not confirmed
+    /// that their version can read services.
     #[error("instances {0:?} have not said that they know services; all must, for the first one")]
     Mixed(Vec<u64>),
-    /// Not acknowledged: the disk has no room, or failed.
+    /// Not acknowledged: the disk is full or failed.
     #[error("{0}")]
     Disk(String),
-    /// Nobody knows: no majority said so in time.
+    /// Outcome unknown: no majority confirmed the write in time.
     #[error("not decided within {DECISION_TIMEOUT:?}; it may be yet")]
     Unknown,
 }
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Debug, Default)]
 pub struct Counts {
-    /// Writes acknowledged.
+    /// Acknowledged writes.
     pub writes: Cell<u64>,
-    /// Batches kept on disk.
+    /// Batches of records written to disk.
     pub batches: Cell<u64>,
-    /// Changes of leader seen.
+    /// Observed changes of leader.
     pub elections: Cell<u64>,
 }
 
-/// A message that waits for a peer.
+/// A message queued for a peer.
 struct Outgoing {
     data: Bytes,
-    /// The consensus waits to be told of a snapshot's end.
+    /// Whether it holds a snapshot, whose delivery or loss must be reported to Raft.
     snapshot: bool,
 }
 
@@ -121,7 +122,7 @@
     log: RefCell<Option<Log>>,
     waiters: RefCell<HashMap<ProposalId, oneshot::Sender<Outcome>>>,
     peers: HashMap<u64, (SocketAddr, mpsc::Sender<Outgoing>)>,
-    /// Peers that have not said yet which forms they read.
+    /// Peers that have not confirmed yet that they read the current formats.
     unconfirmed_peers: RefCell<BTreeSet<u64>>,
     work: Notify,
     revisions: watch::Sender<u64>,
@@ -130,18 +131,18 @@
     snapshot_bytes: u64,
     no_snapshot_before: Cell<Duration>,
     seed: Command,
-    /// The term in which this instance has last proposed it.
+    /// The term in which this instance last proposed the initial list.
     seed_proposed_term: Cell<u64>,
-    /// Whether the log says that it can't be proposed yet.
+    /// Whether it was logged that the initial list can't be proposed yet.
     seed_delay_logged: Cell<bool>,
-    /// Why the disk takes nothing, while it does not.
+    /// Why writes to disk fail, while they do, or why this instance has stopped participating.
     write_failure: RefCell<Option<String>>,
-    /// Counts since the start.
+    /// Counters since the start.
     pub counts: Counts,
 }
 
 impl Host {
-    /// Opens the state directory and starts the tasks; inside a `LocalSet`.
+    /// Opens the state directory and starts the tasks. Must be called inside a `LocalSet`.
     ///
     /// # Errors
     /// [`HostError`].
@@ -163,7 +164,12 @@
                     log.append(&[postcard::to_stdvec(&first).map_err(DecodeError::from)?])?;
                 }
                 let storage = RaftStorage::restore(voters, snapshot.as_deref(), &records)?;
-                tracing::info!(records = records.len(), cut, last = storage.last(), "state opened");
+                tracing::info!(
+                    records = records.len(),
+                    cut,
+                    last = storage.last(),
+                    "state directory opened"
+                );
                 (Some(log), storage)
             }
             None => (None, RaftStorage::new(voters)),
@@ -213,7 +219,8 @@
 
     async fn run(self: Rc<Self>) {
         let mut ticks = interval(self.tick);
-        // After a pause, the ticks that were missed tell nothing: peers were not silent, we were.
+        // Missed ticks are not made up for: after a pause of this process, they do not mean that peers were
+        // silent.
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -224,7 +231,8 @@
         }
     }
 
-    /// Does what has become due: one batch to disk, messages out, outcomes told.
+    /// Processes what is ready: writes one batch to disk, queues messages for peers and reports outcomes to
+    /// callers.
     fn process_ready(&self) {
         let now = self.now();
         let mut replica = self.replica.borrow_mut();
@@ -240,22 +248,22 @@
             Ok(ready_set) => ready_set,
             Err(ReplicaError::Persist(error)) => {
                 if self.write_failure.replace(Some(error.to_string())).is_none() {
-                    tracing::error!(%error, "nothing can be kept: writes fail, reads go on");
+                    tracing::error!(%error, "nothing can be kept: writes fail, reads continue");
                 }
                 return;
             }
-            // Said already.
+            // Logged when it stopped.
             Err(ReplicaError::Stopped) => return,
             Err(error) => {
-                // Going on from here could undo what others count on.
+                // Continuing could undo writes that others rely on.
                 if self.write_failure.replace(Some(error.to_string())).is_none() {
-                    tracing::error!(%error, "this instance takes no further part");
+                    tracing::error!(%error, "this instance has stopped participating");
                 }
                 return;
             }
         };
         if self.write_failure.take().is_some() {
-            tracing::info!("the disk takes writes again");
+            tracing::info!("writes to disk succeed again");
         }
         for message in ready_set.messages {
             let Some((_, queue)) = self.peers.get(&message.to) else { continue };
@@ -277,9 +285,9 @@
         if ready_set.leader_changed {
             self.counts.elections.set(self.counts.elections.get() + 1);
             let (leader, term) = (replica.leader(), replica.term());
-            tracing::info!(id = replica.id(), ?leader, term, "leader");
+            tracing::info!(id = replica.id(), ?leader, term, "leader changed");
             if !replica.leads() {
-                // Nobody will tell them.
+                // This instance will not learn the outcomes of these proposals.
                 waiters.clear();
             }
         }
@@ -291,11 +299,12 @@
         self.compact(&mut replica);
     }
 
-    /// Once a term: where it is lost with its leader, the next one has it again.
+    /// Proposes the initial list once per term: if it is lost with its leader, the next leader proposes it
+    /// again.
     fn propose_seed(&self, replica: &mut Replica) {
         if let Some(why) = self.missing_service_support(&self.seed, replica) {
             if !self.seed_delay_logged.replace(true) {
-                tracing::warn!(%why, "the first list waits");
+                tracing::warn!(%why, "initial list cannot be proposed yet");
             }
             return;
         }
@@ -313,41 +322,43 @@
         let Some(log) = log.as_mut().filter(due) else { return };
         let done = replica.compact().map_err(HostError::from);
         if let Err(error) = done.and_then(|checkpoint| Ok(log.compact(&checkpoint)?)) {
-            tracing::warn!(%error, "no snapshot");
+            tracing::warn!(%error, "failed to write a snapshot");
             self.no_snapshot_before.set(now + SNAPSHOT_RETRY_DELAY);
         }
     }
 
-    /// Why a command must not be proposed yet: it has the first service in it, and some instance may not read it. What
-    /// the log holds already every instance has to read, so that one which is down then stands in nobody's way.
+    /// Why a command must not be proposed yet: it holds the first service of the list, and some instances may
+    /// be unable to read it. Once the log holds a service, every instance has to be able to read it, so an
+    /// instance that is down then blocks nothing.
     fn missing_service_support(&self, command: &Command, replica: &Replica) -> Option<WriteError> {
         let unconfirmed = self.unconfirmed_peers.borrow();
         let first = command.in_service() && !replica.machine().list().in_services();
-        (first && !unconfirmed.is_empty()).then(|| WriteError::Mixed(unconfirmed.iter().copied().collect()))
+        (first && !unconfirmed.is_empty())
+            .then(|| WriteError::Mixed(unconfirmed.iter().copied().collect()))
     }
 
-    /// Looks at the state as this instance has it.
+    /// Calls `f` with the state of this instance.
     pub fn read<T>(&self, f: impl FnOnce(&Machine) -> T) -> T {
         f(self.replica.borrow().machine())
     }
 
-    /// The list's revision here, as it changes.
+    /// A receiver for the revision of the list on this instance.
     pub fn revisions(&self) -> watch::Receiver<u64> {
         self.revisions.subscribe()
     }
 
-    /// This instance, the leader as far as it knows, and the term.
+    /// The number of this instance, the leader as far as it knows, and its term.
     pub fn raft_status(&self) -> (u64, Option<u64>, u64) {
         let replica = self.replica.borrow();
         (replica.id(), replica.leader(), replica.term())
     }
 
-    /// Whether it can be read: its first list is there.
+    /// Whether the list can be read: the initial list was applied.
     pub fn ready(&self) -> bool {
         self.read(Machine::seeded)
     }
 
-    /// Why the disk takes nothing, while it does not.
+    /// Why writes to disk fail, while they do, or why this instance has stopped participating.
     pub fn write_failure(&self) -> Option<String> {
         self.write_failure.borrow().clone()
     }
@@ -364,7 +375,8 @@
         }
     }
 
-    /// Has a command decided and carried out; the outcome once it is on the disks of a majority.
+    /// Proposes a command and waits until a majority has it on disk and it is applied here. Returns its
+    /// outcome.
     ///
     /// # Errors
     /// [`WriteError`].
@@ -394,8 +406,8 @@
         Ok(outcome)
     }
 
-    /// Hands leadership over before this instance stops, so that nobody need miss it first; returns once another
-    /// leads, or `within` has passed.
+    /// Transfers leadership before this instance stops, so that the others need not wait for an election
+    /// timeout. Returns once another instance leads, there is none to take over, or `within` has passed.
     pub async fn transfer_leadership(&self, within: Duration) {
         let until = Instant::now() + within;
         while Instant::now() < until && self.replica.borrow_mut().transfer_leadership() {
@@ -404,17 +416,18 @@
         }
     }
 
-    /// Renews a member here, if this is the leader; whether there is such a one with a TTL.
+    /// Renews a member, if this instance leads. Returns whether there is such a member with a TTL.
     ///
     /// # Errors
-    /// [`WriteError::NotLeader`].
+    /// [`WriteError::NotLeader`], [`WriteError::Disk`] or [`WriteError::Busy`].
     pub fn renew_member(&self, id: &str) -> Result<bool, WriteError> {
         let renewed = self.replica.borrow_mut().renew_member(id, self.now());
         self.work.notify_one();
         renewed.map_err(|why| self.refuse(why))
     }
 
-    /// Takes the messages of one call from a peer: each a length of four bytes, little-endian, and that much.
+    /// Processes the messages of one call from a peer, each prefixed with its length as four bytes,
+    /// little-endian.
     ///
     /// # Errors
     /// What is wrong with the call.
@@ -428,9 +441,9 @@
                 return Err(format!("instance {} is not among the peers", message.from));
             }
             if let Err(cause) = self.replica.borrow_mut().step(message) {
-                // Said once already, where it is the disk.
+                // A write failure was logged already.
                 if self.write_failure.borrow().is_none() {
-                    tracing::warn!(cause, "a message from a peer is left aside");
+                    tracing::warn!(cause, "ignored a message from a peer");
                 }
             }
         }
@@ -441,7 +454,7 @@
         Ok(())
     }
 
-    /// Carries messages to one peer: all that wait in one call, the next once it is answered.
+    /// Sends messages to one peer: all that are queued in one call, the next call once that one is answered.
     async fn send_to_peer(
         self: Rc<Self>,
         id: u64,
@@ -474,10 +487,11 @@
                     connection = Some(Line::open(address).await.map_err(|e| e.to_string())?);
                 }
                 let Some(connected) = connection.as_mut() else { return Ok(()) };
-                let answer = connected.ask(Method::POST, "/peer/messages", batch.freeze(), 4096).await;
+                let answer =
+                    connected.ask(Method::POST, "/peer/messages", batch.freeze(), 4096).await;
                 match answer.map_err(|e| e.to_string())? {
                     (StatusCode::OK, answer) => {
-                        // Anew at each call: it may have been started as another version.
+                        // Updated with each call, as the peer may have been restarted as another version.
                         match answer.as_ref() == FORMS.as_bytes() {
                             true => self.unconfirmed_peers.borrow_mut().remove(&id),
                             false => self.unconfirmed_peers.borrow_mut().insert(id),
@@ -501,11 +515,12 @@
                 Ok(Err(cause)) => cause,
                 Err(_) => format!("{address}: no answer within {PEER_CALL_TIMEOUT:?}"),
             };
-            tracing::debug!(cause = failed, "peer");
+            tracing::debug!(cause = failed, "call to a peer failed");
             connection = None;
             self.replica.borrow_mut().unreachable(id);
             sleep(delays.next().unwrap_or(self.tick)).await;
-            // What has waited meanwhile is out of date; the consensus sends anew, once it is told.
+            // The messages queued meanwhile are outdated; Raft sends again what is needed once the peer is
+            // reported as unreachable.
             while messages.try_recv().is_ok() {}
             self.replica.borrow_mut().unreachable(id);
         }
--- a/src/replica/machine.rs
+++ b/src/replica/machine.rs
@@ -1,4 +1,4 @@
-//! The state that the log builds: the list, members' TTLs, the duties. Pure and deterministic.
+//! The state machine built from the log: the list, the members' TTLs and the duties. Pure and deterministic.
 
 use std::collections::BTreeMap;
 
@@ -9,12 +9,12 @@
 use crate::discovery::store::{Store, StoreV1, StoreV2};
 use crate::lease::table::{Refusal, Table};
 
-/// A member that has to be renewed.
+/// The TTL state of a member that has to be renewed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Session {
-    /// Milliseconds it stays without a renewal.
+    /// How long the member stays without a renewal, in milliseconds.
     pub ttl_ms: u64,
-    /// Whether it drains for want of one, not by an operator's word.
+    /// Whether the member is draining because its TTL passed, and not because an operator asked for it.
     pub lapsed: bool,
 }
 
@@ -29,8 +29,9 @@
     leases: Table,
 }
 
-/// The state as it is kept in a snapshot. The first byte was `seeded` in the first form, so the first two have the
-/// numbers of `false` and `true`; a version that doesn't know the third refuses it ([`crate::discovery::kept`]).
+/// The encoding of the state in a snapshot. In the first format the first byte was `seeded`, so the first two
+/// variants have the numbers of `false` and `true`. A version that doesn't know the third variant refuses it
+/// ([`crate::discovery::kept`]).
 #[derive(Serialize, Deserialize)]
 enum Form {
     UnseededV1(State<StoreV1>),
@@ -83,7 +84,7 @@
 }
 
 impl Machine {
-    /// An empty state whose list keeps this many changes for watches.
+    /// An empty state whose list retains `history` changes for watches.
     pub fn new(history: usize) -> Self {
         Self {
             seeded: false,
@@ -94,27 +95,27 @@
         }
     }
 
-    /// The list.
+    /// The list of members.
     pub fn list(&self) -> &Store {
         &self.list
     }
 
-    /// The duties.
+    /// The duties and their leases.
     pub fn leases(&self) -> &Table {
         &self.leases
     }
 
-    /// The members that have to be renewed.
+    /// The members that have a TTL, by id.
     pub fn sessions(&self) -> &BTreeMap<String, Session> {
         &self.sessions
     }
 
-    /// Whether the first list is there.
+    /// Whether the initial list was applied.
     pub fn seeded(&self) -> bool {
         self.seeded
     }
 
-    /// Carries a command out.
+    /// Applies a command and returns its outcome.
     pub fn apply(&mut self, command: Command) -> Outcome {
         match command {
             Command::Seed { revision, members } => {
@@ -143,22 +144,22 @@
                 if let Err(refusal) = self.check_fence(&fence) {
                     return Outcome::Refused(refusal);
                 }
-                // From now on it drains by word, or serves: either way it has not lapsed.
+                // The phase was set explicitly, so the member does not count as expired any more.
                 if let Some(session) = self.sessions.get_mut(&id) {
                     session.lapsed = false;
                 }
-                return self.change_phase(&id, phase);
+                return self.set_phase(&id, phase);
             }
             Command::Lapse { id } => {
                 let Some(session) = self.sessions.get_mut(&id) else { return Outcome::Unknown };
                 let draining = self.list.member(&id).is_some_and(|m| m.phase == Phase::Draining);
                 session.lapsed = true;
-                return self.change_phase(&id, if draining { Phase::Deleted } else { Phase::Draining });
+                return self.set_phase(&id, if draining { Phase::Deleted } else { Phase::Draining });
             }
             Command::Revive { id } => {
                 let Some(session) = self.sessions.get_mut(&id) else { return Outcome::Unknown };
                 if std::mem::take(&mut session.lapsed) {
-                    return self.change_phase(&id, Phase::Serving);
+                    return self.set_phase(&id, Phase::Serving);
                 }
             }
             Command::Lease(command) => {
@@ -171,7 +172,7 @@
         Outcome::Revision(self.list.revision())
     }
 
-    fn change_phase(&mut self, id: &str, phase: Phase) -> Outcome {
+    fn set_phase(&mut self, id: &str, phase: Phase) -> Outcome {
         let Some(member) = self.list.member(id) else { return Outcome::Unknown };
         let member = Member { phase, ..member.clone() };
         if phase == Phase::Deleted {
--- a/src/replica/machine/tests.rs
+++ b/src/replica/machine/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_member_that_stops_renewing_drains_then_goes_and_one_renewed_serves_again() {
+fn unrenewed_member_drains_then_is_removed() {
     let mut machine = Machine::new(8);
     let register = Command::Register { member: member("a"), ttl_ms: Some(1000), fence: None };
     machine.apply(register);
@@ -25,7 +25,7 @@
     let drain = Command::SetPhase { id: "a".into(), phase: Phase::Draining, fence: None };
     machine.apply(drain);
     machine.apply(Command::Revive { id: "a".into() });
-    assert_eq!(phase(&machine, "a"), Some(Phase::Draining), "an operator's word stands");
+    assert_eq!(phase(&machine, "a"), Some(Phase::Draining), "the operator's phase is unchanged");
     machine.apply(Command::Lapse { id: "a".into() });
     assert_eq!(phase(&machine, "a"), None);
     assert!(machine.sessions().is_empty());
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_write_under_a_token_that_is_not_live_is_refused_and_changes_nothing() {
+fn write_with_a_stale_token_is_refused() {
     let mut machine = Machine::new(8);
     let duty = || "release".to_owned();
     for holder in ["a", "a"] {
@@ -52,14 +52,14 @@
 }
 
 #[test]
-fn the_first_list_is_seeded_once() {
+fn initial_list_is_applied_once() {
     let mut machine = Machine::new(8);
     let seed = Command::Seed { revision: 40, members: vec![member("a")] };
     assert_eq!(machine.apply(seed.clone()), Outcome::Revision(41));
     assert_eq!(machine.apply(seed), Outcome::Revision(41));
 }
 
-/// The state as versions without services keep it.
+/// The state as versions without services encode it.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct OldMachine {
     seeded: bool,
@@ -77,8 +77,8 @@
     keep: usize,
 }
 
-/// A state whose list was changed like this, and its other parts besides.
-fn changed(seeded: bool, members: &[Member]) -> Machine {
+/// A state with these members registered, one grant, and a start revision of 700.
+fn state_with_members(seeded: bool, members: &[Member]) -> Machine {
     let mut machine = Machine::new(300);
     machine.seeded = seeded;
     machine.list = Store::new(700, 300);
@@ -93,9 +93,9 @@
 }
 
 #[test]
-fn a_state_kept_before_there_were_services_is_read_and_one_without_is_written_the_same() {
+fn state_without_services_keeps_the_old_encoding() {
     for seeded in [false, true] {
-        let machine = changed(seeded, &[new("b", ""), new("a", "")]);
+        let machine = state_with_members(seeded, &[new("b", ""), new("a", "")]);
         let list = OldStore {
             revision: 702,
             members: ["a", "b"].map(|id| (id.to_owned(), old(id))).into(),
@@ -103,35 +103,35 @@
             keep: 300,
         };
         let (sessions, leases) = (machine.sessions.clone(), machine.leases.clone());
-        let kept = OldMachine { seeded, history: 300, list, sessions, leases };
-        let kept = postcard::to_stdvec(&kept).expect("kept");
-        assert_eq!(postcard::from_bytes(&kept), Ok(machine.clone()));
-        assert_eq!(postcard::to_stdvec(&machine), Ok(kept));
+        let encoded = OldMachine { seeded, history: 300, list, sessions, leases };
+        let encoded = postcard::to_stdvec(&encoded).expect("encoded");
+        assert_eq!(postcard::from_bytes(&encoded), Ok(machine.clone()));
+        assert_eq!(postcard::to_stdvec(&machine), Ok(encoded));
     }
 }
 
 #[test]
-fn a_state_with_services_is_read_back_and_refused_by_the_versions_without() {
-    // The last has left its service, and the history says so.
+fn old_versions_refuse_a_state_with_services() {
+    // In the second list the member has left its service, but the history still holds the entry with it.
     for members in [vec![new("a", ""), new("b", "s")], vec![new("a", "s"), new("a", "")]] {
         for seeded in [false, true] {
-            let machine = changed(seeded, &members);
-            let kept = postcard::to_stdvec(&machine).expect("kept");
-            assert_eq!(postcard::from_bytes(&kept), Ok(machine));
-            assert!(postcard::from_bytes::<OldMachine>(&kept).is_err(), "refused, not misread");
+            let machine = state_with_members(seeded, &members);
+            let encoded = postcard::to_stdvec(&machine).expect("encoded");
+            assert_eq!(postcard::from_bytes(&encoded), Ok(machine));
+            assert!(postcard::from_bytes::<OldMachine>(&encoded).is_err(), "refused, not misread");
         }
     }
 }
 
 #[test]
-fn a_state_that_has_forgotten_its_services_is_written_without() {
-    let mut machine = changed(true, &[new("a", "s")]);
+fn state_without_services_in_its_history_keeps_the_old_encoding() {
+    let mut machine = state_with_members(true, &[new("a", "s")]);
     machine.list = Store::new(700, 1);
     machine.list.apply(new("a", "s"));
     machine.list.apply(new("a", ""));
-    let kept = postcard::to_stdvec(&machine).expect("kept");
-    assert!(postcard::from_bytes::<OldMachine>(&kept).is_err(), "it was moved within the history");
+    let encoded = postcard::to_stdvec(&machine).expect("encoded");
+    assert!(postcard::from_bytes::<OldMachine>(&encoded).is_err(), "its service is in the history");
     machine.list.apply(new("b", ""));
-    let kept = postcard::to_stdvec(&machine).expect("kept");
-    assert!(postcard::from_bytes::<OldMachine>(&kept).is_ok());
+    let encoded = postcard::to_stdvec(&machine).expect("encoded");
+    assert!(postcard::from_bytes::<OldMachine>(&encoded).is_ok());
 }
--- a/src/replica/mod.rs
+++ b/src/replica/mod.rs
@@ -1,15 +1,16 @@
 //! The replicated state of the list service: one log that a majority of its instances agrees on.
 //!
-//! [`machine`] is the state (the list, the duties, members' TTLs) that every instance builds from the same
-//! [`command`]s; [`core`] is one instance's part in the consensus, told messages and time and answering what to
-//! keep and what to send; [`storage`] is what that reads of its log; [`host`] does the I/O: disk, peers, clock.
-//! All but the last are pure, so that whole clusters run under a test's own schedule of faults.
+//! [`machine`] is the state (the list, the duties, the members' TTLs) that every instance builds from the same
+//! [`command`]s; [`core`] is the Raft node of one instance, which takes messages and time as input and returns
+//! what to persist and what to send; [`storage`] is the log that Raft reads; [`host`] does the I/O: disk,
+//! peers, clock. All but the last are pure, so that tests can run complete clusters under their own schedule of
+//! faults.
 //!
-//! Design note. Consensus is the `raft` crate's, not ours. Of the two well-kept ones, `openraft` brings its own
-//! tasks and timers and is driven through async traits; `raft` is a state machine that is told ticks and messages
-//! and answers with what to do, as this project's own parts are, and can be stepped through ten thousand random
-//! schedules of kills and partitions in seconds. It runs with pre-vote and check-quorum: an instance that was cut
-//! off or paused neither unseats a working leader nor stays one for longer than an election timeout.
+//! Design note. Consensus comes from the `raft` crate. Of the two well-maintained ones, `openraft` has its own
+//! tasks and timers and is driven through async traits. `raft` is a state machine that takes ticks and messages
+//! and returns what to do, like the other parts of this project, and can be stepped through ten thousand random
+//! schedules of kills and partitions in seconds. It runs with pre-vote and check-quorum: an instance that was
+//! partitioned or paused neither unseats a working leader nor stays leader for longer than an election timeout.
 
 pub mod command;
 pub mod core;
--- a/src/replica/storage.rs
+++ b/src/replica/storage.rs
@@ -1,5 +1,5 @@
-//! What one instance keeps of the consensus, as the `raft` crate reads it; and the records by which it is kept
-//! on disk. Pure: held in memory whole, written by the caller.
+//! The Raft log and state of one instance, as the `raft` crate reads it, and the records that store it on disk.
+//! Pure: held in memory, written by the caller.
 
 use std::collections::VecDeque;
 
@@ -9,42 +9,43 @@
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
 use serde::{Deserialize, Serialize};
 
-/// One record of the log on disk. The payloads are the `raft` crate's own messages, encoded.
+/// One record of the log on disk. The payloads are encoded messages of the `raft` crate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// Entries, in order; they take the place of all that were there from the first one's index on.
+    /// Consecutive entries; they replace all stored entries from the index of the first one on.
     Entries(Vec<Vec<u8>>),
-    /// Term, vote and commit.
+    /// Term, vote and commit index.
     HardState(Vec<u8>),
-    /// The state as a leader sent it; nothing before it counts any more.
+    /// A snapshot received from a leader; it replaces everything before it.
     Snapshot(Vec<u8>),
-    /// The instances that this log is of: the first record of each.
+    /// The instances that share this log; the first record of every log.
     Voters(Vec<u64>),
 }
 
-/// A record or state on disk that passed its checksum and still can't be read: written by another version.
+/// A record or state on disk that cannot be decoded although its checksum matches, for example one written by
+/// another version, or that belongs to another set of instances.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
-    /// The outer form.
+    /// The outer encoding is invalid.
     #[error("record: {0}")]
     Record(#[from] postcard::Error),
-    /// The consensus's own messages.
+    /// An encoded Raft message is invalid.
     #[error("consensus message: {0}")]
     Message(#[from] protobuf::ProtobufError),
-    /// The configuration names other instances than those that the log was begun with.
+    /// The configuration names other instances than those that the log was created with.
     #[error("the instances {configured:?} are configured, and this state is of {kept:?}")]
     OtherVoters {
-        /// As configured.
+        /// The instances in the configuration.
         configured: Vec<u64>,
-        /// As kept.
+        /// The instances stored in the state directory.
         kept: Vec<u64>,
     },
-    /// Entries that leave a gap after those before.
+    /// Entries that do not follow the last stored one: the index of the first, and that of the last stored one.
     #[error("entries from {0} after {1}")]
     Gap(u64, u64),
 }
 
-/// Everything that is kept, as one snapshot of the state directory.
+/// The complete stored state, as one snapshot of the state directory.
 #[derive(Serialize, Deserialize)]
 struct Checkpoint {
     voters: Vec<u64>,
@@ -54,29 +55,29 @@
     entries: Vec<Vec<u8>>,
 }
 
-/// The log of one instance.
+/// The Raft log and state of one instance.
 #[derive(Clone, Debug, Default)]
 pub struct RaftStorage {
     voters: Vec<u64>,
     hard_state: HardState,
-    /// The newest snapshot: its index is that of the state, not below the first entry's less one.
+    /// The newest snapshot. Its index is at least that of the entry before the first one held.
     snapshot: Snapshot,
     /// Index and term of the entry before the first one held.
     truncated: (u64, u64),
     entries: VecDeque<Entry>,
 }
 
-/// Entries kept before a snapshot, so that a follower that is a little behind needs no whole state.
+/// Entries retained before a snapshot, so that a follower slightly behind does not need the complete state.
 pub(super) const RETAINED_ENTRIES: u64 = 256;
 
 impl RaftStorage {
-    /// An instance that has seen nothing, among these voters.
+    /// An empty log for these voters.
     pub fn new(voters: Vec<u64>) -> Self {
         Self { voters, ..Self::default() }
     }
 
-    /// What a state directory holds: its snapshot and the records after it. Without `voters` it is read for whatever
-    /// instances it is of.
+    /// Restores the contents of a state directory: its snapshot and the records after it. With empty `voters`,
+    /// the stored ones are taken over.
     ///
     /// # Errors
     /// [`DecodeError`].
@@ -99,12 +100,13 @@
         for record in records {
             storage.apply_record(&postcard::from_bytes(record)?)?;
         }
-        // What is committed must be here: the commit is kept with the entries, never before them.
+        // Committed entries must be present: the commit index is stored with the entries, never before them.
         storage.hard_state.commit = storage.hard_state.commit.min(storage.last());
         Ok(storage)
     }
 
-    /// Two sets of instances of one log could each decide without the other.
+    /// Checks the stored voters against the configured ones, or takes them over where none are configured. Two
+    /// different sets of instances over one log could each commit entries without the other.
     fn adopt_voters(&mut self, kept: &[u64]) -> Result<(), DecodeError> {
         if self.voters.is_empty() {
             self.voters = kept.to_vec();
@@ -116,7 +118,7 @@
         Err(DecodeError::OtherVoters { configured, kept })
     }
 
-    /// Takes a record in.
+    /// Applies a stored record.
     ///
     /// # Errors
     /// [`DecodeError`].
@@ -150,7 +152,10 @@
         Ok(())
     }
 
-    /// The records of one batch of the consensus's output, in the order in which they are to be kept.
+    /// The records for one batch of Raft's output, in the order in which they must be stored.
+    ///
+    /// # Errors
+    /// [`DecodeError`] where a message cannot be encoded.
     pub fn records(
         snapshot: &Snapshot,
         entries: &[Entry],
@@ -170,8 +175,8 @@
         Ok(records)
     }
 
-    /// Takes `state`, which holds everything up to the entry `applied`, as the newest snapshot, and drops the
-    /// entries that it stands for but the last few.
+    /// Makes `state`, which includes everything up to the entry `applied`, the newest snapshot, and drops the
+    /// entries that it covers except for the last few.
     pub fn compact(&mut self, applied: u64, state: Vec<u8>) {
         let Ok(term) = self.term(applied) else { return };
         let mut snapshot = Snapshot::default();
@@ -187,10 +192,10 @@
         }
     }
 
-    /// Everything, for a snapshot of the state directory.
+    /// Encodes the complete state for a snapshot of the state directory.
     ///
     /// # Errors
-    /// [`DecodeError`], which is not expected of what is held in memory.
+    /// [`DecodeError`]; not expected for data that is held in memory.
     pub fn encode_checkpoint(&self) -> Result<Vec<u8>, DecodeError> {
         let entries = self.entries.iter().map(Entry::write_to_bytes).collect::<Result<_, _>>()?;
         let checkpoint = Checkpoint {
@@ -203,22 +208,22 @@
         Ok(postcard::to_stdvec(&checkpoint)?)
     }
 
-    /// The newest snapshot's index and state; index 0 and nothing where there is none.
+    /// Index and state of the newest snapshot; 0 and empty where there is none.
     pub fn state(&self) -> (u64, &[u8]) {
         (self.snapshot.get_metadata().index, self.snapshot.get_data())
     }
 
-    /// What is committed from now on.
+    /// Sets the commit index.
     pub fn commit_to(&mut self, commit: u64) {
         self.hard_state.commit = commit;
     }
 
-    /// Term, vote and commit.
+    /// Term, vote and commit index.
     pub fn hard_state(&self) -> &HardState {
         &self.hard_state
     }
 
-    /// The instances that this log is of.
+    /// The instances that share this log.
     pub fn voters(&self) -> &[u64] {
         &self.voters
     }
@@ -252,7 +257,8 @@
             return Err(StorageError::Unavailable.into());
         }
         let position = |index: u64| (index - self.truncated.0 - 1) as usize;
-        let mut entries: Vec<Entry> = self.entries.range(position(low)..position(high)).cloned().collect();
+        let mut entries: Vec<Entry> =
+            self.entries.range(position(low)..position(high)).cloned().collect();
         limit_size(&mut entries, max_size.into());
         Ok(entries)
     }
