--- a/src/lease/client.rs
+++ b/src/lease/client.rs
@@ -1,4 +1,4 @@
-//! Holds one duty over HTTP: carries out what [`Holder`] decides, on this machine's monotonic clock.
+//! Holds one duty over HTTP: performs the steps that [`Holder`] decides, on this machine's monotonic clock.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 use super::table::Token;
 use crate::calls::instances::Instances;
 
-/// One process's claim on one duty, kept up by [`Duty::run`].
+/// One process's claim on one duty, maintained by [`Duty::run`].
 pub struct Duty {
     name: String,
     holder: String,
@@ -22,13 +22,13 @@
     claim: RefCell<Holder>,
     start: Instant,
     token_sender: watch::Sender<Option<Token>>,
-    /// Times this process was granted the duty.
+    /// How often this process was granted the duty.
     pub grants: Cell<u64>,
 }
 
 impl Duty {
-    /// A claim of `holder` on the duty `name`; nothing is asked before [`Duty::run`]. Holders of one duty must
-    /// have names of their own.
+    /// A claim of `holder` on the duty `name`; no call is made before [`Duty::run`]. Each holder of a duty must
+    /// have a unique name.
     pub fn new(instances: Rc<Instances>, name: &str, holder: &str, ttl: Duration) -> Rc<Self> {
         Rc::new(Self {
             name: name.to_owned(),
@@ -42,13 +42,13 @@
         })
     }
 
-    /// The token, while the duty may be done. Ask right before every write, and send it with the write: a process
-    /// that was paused in between is refused by it.
+    /// The token, while the duty may be performed. Read it right before every write and send it with the write:
+    /// if this process was paused in between, the receiver refuses the stale token.
     pub fn token(&self) -> Option<Token> {
         self.claim.borrow().token(self.start.elapsed())
     }
 
-    /// Follows grants and losses; the value may lag behind [`Duty::token`], which decides.
+    /// A receiver for grants and losses. Its value may lag behind [`Duty::token`], which is authoritative.
     pub fn watch(&self) -> watch::Receiver<Option<Token>> {
         self.token_sender.subscribe()
     }
@@ -64,7 +64,7 @@
         tracing::warn!(duty = self.name, lease = token, cause, "duty lost");
     }
 
-    /// Asks, renews and stops, until it is dropped.
+    /// Acquires and renews the lease until the future is dropped.
     pub async fn run(self: Rc<Self>) {
         loop {
             let now = self.start.elapsed();
@@ -99,17 +99,17 @@
                 }
             }
             Ok((status, value)) => {
-                tracing::debug!(duty = self.name, %status, answer = %value, "not granted");
+                tracing::debug!(duty = self.name, %status, answer = %value, "duty was not granted");
                 claim.refused(now);
             }
             Err(cause) => {
-                tracing::debug!(duty = self.name, %cause, "not granted");
+                tracing::debug!(duty = self.name, %cause, "duty was not granted");
                 claim.unanswered(now);
             }
         }
     }
 
-    /// A renewal may take no longer than the lease lasts: the holder must be back in time to stop.
+    /// Renews the lease. The call must end before the lease does, so that the holder stops in time.
     async fn renew(&self, token: Token, sent_at: Duration) {
         let body = json!({"duty": self.name, "token": token});
         let (call_timeout, until) = {
@@ -128,17 +128,17 @@
                 }
             }
             Ok((status, _)) => {
-                tracing::warn!(duty = self.name, lease = token, %status, "renewal");
+                tracing::warn!(duty = self.name, lease = token, %status, "renewal failed");
                 claim.unanswered(now);
             }
             Err(cause) => {
-                tracing::warn!(duty = self.name, lease = token, %cause, "renewal");
+                tracing::warn!(duty = self.name, lease = token, %cause, "renewal failed");
                 claim.unanswered(now);
             }
         }
     }
 
-    /// Gives the duty back, so that the next holder need not wait for the TTL.
+    /// Releases the duty, so that the next holder does not have to wait for the TTL.
     pub async fn release(&self) {
         let Some(token) = self.token() else { return };
         self.claim.borrow_mut().released(self.start.elapsed());
--- a/src/lease/expiry.rs
+++ b/src/lease/expiry.rs
@@ -1,38 +1,43 @@
-//! The leader's watch on TTLs: which leases and members were not renewed in time. Pure: told the time.
+//! Tracks the TTLs of leases and members on the leader and reports which have expired. Pure: the time is an
+//! input.
 //!
-//! Only the leader keeps one, in memory. A new leader starts every TTL anew, which lengthens a lease and never
-//! shortens one.
+//! Only the leader tracks TTLs, in memory. A new leader restarts every TTL, which can lengthen a lease but
+//! never shorten one.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// When each key lapses, on the leader's own monotonic clock.
+/// When each key expires, on the leader's own monotonic clock.
 #[derive(Debug, Default)]
 pub struct Expiry<K: Ord + Clone> {
     deadlines: BTreeMap<K, Duration>,
 }
 
 impl<K: Ord + Clone> Expiry<K> {
-    /// Nothing watched yet.
+    /// Tracks no keys yet.
     pub fn new() -> Self {
         Self { deadlines: BTreeMap::new() }
     }
 
-    /// The key was granted or renewed at `now`.
+    /// Restarts the TTL of a key that was granted or renewed at `now`.
     pub fn renewed(&mut self, key: K, now: Duration, ttl: Duration) {
         self.deadlines.insert(key, now + ttl);
     }
 
-    /// The key is not watched any more.
+    /// Stops tracking the key.
     pub fn remove(&mut self, key: &K) {
         self.deadlines.remove(key);
     }
 
-    /// The keys whose TTL has passed by `now`. Each is told again `again` later, should it still be watched:
-    /// what was proposed of it may have been lost.
+    /// The keys whose TTL has passed by `now`. A key that is still tracked is reported again after
+    /// `retry_after`, because the proposal made for it may have been lost.
     pub fn expired(&mut self, now: Duration, retry_after: Duration) -> Vec<K> {
-        let expired: Vec<K> =
-            self.deadlines.iter().filter(|(_, at)| **at <= now).map(|(key, _)| key.clone()).collect();
+        let expired: Vec<K> = self
+            .deadlines
+            .iter()
+            .filter(|(_, at)| **at <= now)
+            .map(|(key, _)| key.clone())
+            .collect();
         for key in &expired {
             self.deadlines.insert(key.clone(), now + retry_after);
         }
--- a/src/lease/holder.rs
+++ b/src/lease/holder.rs
@@ -1,35 +1,35 @@
-//! The holder's side of one duty: when to ask, when to renew, and when to stop. Pure: told the time and what was
-//! answered; it never looks at a clock of another machine.
+//! The holder's side of one duty: when to acquire, when to renew and when to stop. Pure: the time and the
+//! answers are inputs, and no clock of another machine is used.
 
 use std::time::Duration;
 
 use super::table::Token;
 
-/// The stated bound on how far the rates of two machines' monotonic clocks may be apart: one part in 20. A
-/// holder takes the TTL for that much shorter.
+/// Bound on the difference between the rates of two machines' monotonic clocks: one part in 20. A holder
+/// shortens the TTL by this share.
 pub const CLOCK_DRIFT_DIVISOR: u32 = 20;
 
-/// Where the holder stands.
+/// The state of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum State {
-    /// It does not hold the duty; it may ask from `next` on.
+    /// Does not hold the duty; may ask from `retry_at` on.
     Idle { retry_at: Duration },
-    /// It asked at `asked`.
+    /// Sent an acquire request at `sent_at`.
     Requesting { sent_at: Duration },
-    /// It holds the duty until `until` at the latest.
+    /// Holds the duty until `until` at the latest; `sent_at` is set while a renewal is pending.
     Held { token: Token, until: Duration, renew_at: Duration, sent_at: Option<Duration> },
 }
 
-/// What to do next.
+/// The next action of the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Send an acquire; tell what comes of it.
+    /// Send an acquire request and report the answer.
     Acquire,
-    /// Send a renewal for this token; tell what comes of it.
+    /// Send a renewal for this token and report the answer.
     Renew(Token),
-    /// The duty has ended here: stop it at once.
+    /// The lease has ended: stop the duty at once.
     Stop(Token),
-    /// Nothing before this time.
+    /// Do nothing before this time.
     Wait(Duration),
 }
 
@@ -38,19 +38,19 @@
 pub struct Holder {
     ttl: Duration,
     state: State,
-    /// Grants lost since the start: ended by time or refused, not released.
+    /// Grants lost since the start: expired or refused, not released.
     pub lost: u64,
-    /// Renewals answered.
+    /// Renewals granted since the start.
     pub renewals: u64,
 }
 
 impl Holder {
-    /// One that will ask at once for a lease of this TTL.
+    /// A claim that asks for a lease of this TTL at once.
     pub fn new(ttl: Duration) -> Self {
         Self { ttl, state: State::Idle { retry_at: Duration::ZERO }, lost: 0, renewals: 0 }
     }
 
-    /// The token, while the duty may be done at `now`. Ask right before every step of it.
+    /// The token, while the duty may be performed at `now`. Check it right before every step of the duty.
     pub fn token(&self, now: Duration) -> Option<Token> {
         match self.state {
             State::Held { token, until, .. } if now < until => Some(token),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// When the duty has to stop, should no renewal come.
+    /// When the duty has to stop unless the lease is renewed.
     pub fn until(&self) -> Option<Duration> {
         match self.state {
             State::Held { until, .. } => Some(until),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// How long one call may take: a third of the TTL, so that two fail before the lease does.
+    /// How long one call may take: a third of the TTL, so that two calls can fail before the lease ends.
     pub fn call_timeout(&self) -> Duration {
         self.ttl / 3
     }
@@ -75,7 +75,7 @@
         sent_at + self.ttl - self.ttl / CLOCK_DRIFT_DIVISOR
     }
 
-    /// What to do at `now`.
+    /// The next action at `now`.
     pub fn step(&mut self, now: Duration) -> Step {
         match self.state {
             State::Idle { retry_at } if now < retry_at => Step::Wait(retry_at),
@@ -100,7 +100,7 @@
         }
     }
 
-    /// A grant came for what was asked at `asked`.
+    /// Handles a grant for the request sent at `sent_at`. An answer to an older request is ignored.
     pub fn granted(&mut self, token: Token, sent_at: Duration) {
         if matches!(self.state, State::Requesting { sent_at: at } if at == sent_at) {
             let (until, renew_at) = (self.lease_end(sent_at), sent_at + self.ttl / 3);
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The renewal asked for at `asked` was granted.
+    /// Handles the grant of the renewal sent at `sent_at`.
     pub fn renewed(&mut self, sent_at: Duration) {
         if let State::Held { token, sent_at: Some(at), .. } = self.state
             && at == sent_at
@@ -119,7 +119,8 @@
         }
     }
 
-    /// The service said no: another holds it, or the token is stale. Returns the token of a duty to stop now.
+    /// Handles a refusal: another process holds the duty, or the token is stale. Returns the token if the duty
+    /// has to stop now.
     pub fn refused(&mut self, now: Duration) -> Option<Token> {
         let retry_at = now + self.ttl / 6;
         match std::mem::replace(&mut self.state, State::Idle { retry_at }) {
@@ -131,7 +132,8 @@
         }
     }
 
-    /// Nobody answered, or nobody that could decide. A lease that is held goes on until its time.
+    /// Handles a call without an answer, or with one that decides nothing. A lease that is held lasts until its
+    /// end.
     pub fn unanswered(&mut self, now: Duration) {
         match &mut self.state {
             State::Held { renew_at, sent_at, .. } => {
@@ -142,7 +144,7 @@
         }
     }
 
-    /// The duty was given back.
+    /// Handles the release of the duty.
     pub fn released(&mut self, now: Duration) {
         self.state = State::Idle { retry_at: now + self.ttl };
     }
--- a/src/lease/table.rs
+++ b/src/lease/table.rs
@@ -1,57 +1,59 @@
-//! The replicated table of duties. Pure: the same commands in the same order give the same table everywhere.
+//! The replicated table of duties. Pure: the same commands in the same order give the same table on every
+//! instance.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// A number that rises with every grant of any duty, from 1.
+/// A fencing token: a number that increases with every grant of any duty, starting at 1.
 pub type Token = u64;
 
-/// What may be asked of the table.
+/// A command that changes the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseCommand {
-    /// Grants the duty, unless another holds it. The holder itself gets a new token: it has started anew.
+    /// Grants the duty, unless another process holds it. The current holder gets a new token, because it has
+    /// restarted.
     Acquire {
-        /// The duty.
+        /// The name of the duty.
         duty: String,
-        /// Who asks, by its name.
+        /// The name of the process that asks.
         holder: String,
         /// How long the grant lasts without a renewal, in milliseconds.
         ttl_ms: u64,
     },
-    /// The holder goes on.
+    /// Renews the grant.
     Renew {
-        /// The duty.
+        /// The name of the duty.
         duty: String,
-        /// The token of its grant.
+        /// The token of the grant.
         token: Token,
     },
-    /// The holder is done with it.
+    /// Releases the duty.
     Release {
-        /// The duty.
+        /// The name of the duty.
         duty: String,
-        /// The token of its grant.
+        /// The token of the grant.
         token: Token,
     },
-    /// The leader saw the TTL pass. Of no effect where a renewal came in between.
+    /// Ends a grant whose TTL has passed on the leader. Has no effect if it was renewed in between.
     Expire {
-        /// The duty.
+        /// The name of the duty.
         duty: String,
         /// The token of the grant that has expired.
         token: Token,
-        /// How often it had been renewed by then.
+        /// The number of renewals of the grant when it expired.
         renewals: u64,
     },
 }
 
-/// A duty that is held.
+/// The live grant of a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Who holds it.
+    /// The name of the holder.
     pub holder: String,
     /// The fencing token.
     pub token: Token,
-    /// Milliseconds that it lasts from a grant or renewal on.
+    /// How long it lasts after the grant or the last renewal, in milliseconds.
     pub ttl_ms: u64,
     /// How often it was renewed.
     pub renewals: u64,
@@ -60,9 +62,9 @@
 /// One duty, held or not.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Duty {
-    /// Its live grant.
+    /// The live grant, if the duty is held.
     pub grant: Option<Grant>,
-    /// The highest token granted for it.
+    /// The highest token granted for this duty.
     pub highest: Token,
     /// How often it was granted.
     pub grants: u64,
@@ -73,32 +75,33 @@
 /// Why a command, or a write that carries a token, was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum Refusal {
-    /// Another holds it.
+    /// Another process holds the duty.
     #[error("held by {holder} with token {token}")]
     Held {
-        /// Who.
+        /// The name of the holder.
         holder: String,
-        /// Its token.
+        /// The token of its grant.
         token: Token,
     },
-    /// The token is not the one of a live grant.
+    /// The token is not that of a live grant.
     #[error("token {token} is stale; the highest granted is {highest}")]
     Stale {
-        /// The token that came.
+        /// The token of the command or write.
         token: Token,
-        /// The highest granted for this duty.
+        /// The highest token granted for this duty.
         highest: Token,
     },
-    /// No such lease can be granted.
+    /// The request is invalid: a name or TTL is out of range, or there are too many duties.
     #[error("{0}")]
     Invalid(String),
 }
 
-/// The longest TTL, in milliseconds, and the shortest.
+/// The allowed range of a TTL, in milliseconds.
 pub const TTL_MS: std::ops::RangeInclusive<u64> = 50..=3_600_000;
-/// The longest name of a duty or a holder, in bytes.
+/// The maximum length of the name of a duty or a holder, in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
-/// The most duties a table holds; a released one keeps its place, for its highest token must stay known.
+/// The maximum number of duties in a table. A released duty still counts, because its highest token must stay
+/// known.
 pub const MAX_DUTIES: usize = 10_000;
 
 /// All duties, and the last token granted.
@@ -114,12 +117,12 @@
         &self.duties
     }
 
-    /// The last token granted, of any duty.
+    /// The last token granted for any duty.
     pub fn last_token(&self) -> Token {
         self.last
     }
 
-    /// Carries a command out. `Ok` holds the grant as it stands after it, `None` where the duty is free now.
+    /// Applies a command. `Ok` holds the resulting grant, or `None` where the duty is free.
     ///
     /// # Errors
     /// [`Refusal`]; the table is unchanged.
@@ -184,8 +187,8 @@
         self.duties.get_mut(duty).ok_or(Refusal::Stale { token, highest: 0 })
     }
 
-    /// Whether a write that carries this token may be made: only under the duty's live grant. A token that was
-    /// the highest but whose lease has ended is refused too: its holder may be gone for good.
+    /// Checks that a write with this token is allowed: only under the duty's live grant. The highest token is
+    /// refused too once its lease has ended, as its holder may be gone for good.
     ///
     /// # Errors
     /// [`Refusal::Stale`].
