--- a/src/store/log.rs
+++ b/src/store/log.rs
@@ -1,7 +1,7 @@
-//! The files of a state directory: opened and checked, appended to, compacted.
+//! The files of a state directory: opening and checking, appending, compaction.
 //!
-//! Everything here blocks on the disk. [`Log::append`] returns once the batch is on it (`fdatasync`), so what
-//! it returned `Ok` for is *acknowledged*: no crash and no power loss takes it back.
+//! Everything here blocks on the disk. [`Log::append`] returns once the batch is on disk (`fdatasync`), so a
+//! batch for which it returned `Ok` is *acknowledged*: it survives any crash or power loss.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -12,52 +12,52 @@
 /// How a directory with a corrupt record is opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recovery {
-    /// Refused, with the offset.
+    /// Fails with the offset of the record.
     Strict,
-    /// Opened with what was good before the corrupt record, from the newest good snapshot on. What is
-    /// corrupt is kept beside it under `.corrupt`. An operator's explicit word only: acknowledged records
-    /// after the corrupt one are given up.
+    /// Opens with the records before the corrupt one, starting from the newest valid snapshot. The corrupt file
+    /// is kept under the extension `.corrupt`. Only for an operator's explicit request: acknowledged records
+    /// after the corrupt one are lost.
     LastGoodSnapshot,
 }
 
-/// What went wrong with a state directory.
+/// An error of a state directory.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The system refused an operation.
+    /// A system call failed.
     #[error("{}: {source}", path.display())]
     Io {
-        /// The file or folder.
+        /// The file or directory.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the system call.
         source: io::Error,
     },
-    /// A record is not what was written.
+    /// A record differs from what was written.
     #[error("{}: corrupt record at offset {offset}: {what}", path.display())]
     Corrupt {
         /// The file.
         path: PathBuf,
-        /// Where the record starts, in bytes.
+        /// Offset of the start of the record, in bytes.
         offset: u64,
-        /// Which part of it.
+        /// What is wrong with the record.
         what: String,
     },
     /// Another process has the directory open.
     #[error("{}: in use by another process", .0.display())]
     InUse(PathBuf),
-    /// The disk or the stated limit is full; what was acknowledged before stands, and reads go on.
+    /// The disk or the configured limit is full. Acknowledged records are kept, and reads continue.
     #[error("{}: full: {needed} bytes more than the {limit} allowed", path.display())]
     Full {
         /// The directory.
         path: PathBuf,
-        /// What the batch needed beyond the limit, in bytes.
+        /// Bytes by which the batch exceeds the limit, or its size where the disk itself was full.
         needed: u64,
         /// The limit in bytes; 0 where the disk itself was full.
         limit: u64,
     },
-    /// An earlier failure left the end of the log unknown; only opening it anew can tell.
+    /// After an earlier failure the end of the log is unknown until the directory is reopened.
     #[error("{}: closed to writes after a failed sync", .0.display())]
     Poisoned(PathBuf),
-    /// A payload over [`MAX_PAYLOAD_BYTES`] bytes.
+    /// A payload of more than [`MAX_PAYLOAD_BYTES`].
     #[error("a record of {0} bytes")]
     TooLong(usize),
 }
@@ -66,28 +66,28 @@
     move |source| StoreError::Io { path: path.to_owned(), source }
 }
 
-/// A directory as it was found.
+/// An opened directory and its contents.
 #[derive(Debug)]
 pub struct Opened {
-    /// Ready for appends after what was found.
+    /// The log, ready for appends after the existing records.
     pub log: Log,
     /// The state that the records build on, if there was a snapshot.
     pub snapshot: Option<Vec<u8>>,
-    /// The payloads after it, oldest first.
+    /// The payloads after the snapshot, oldest first.
     pub records: Vec<Vec<u8>>,
     /// Bytes of a torn last record that were cut off.
     pub cut: u64,
 }
 
-/// An open state directory; its lock is held until it is dropped.
+/// An open state directory; locked until this is dropped.
 #[derive(Debug)]
 pub struct Log {
     dir: PathBuf,
     file: File,
     path: PathBuf,
-    /// The number of the last record written.
+    /// The sequence number of the last record.
     sequence: u64,
-    /// The snapshot that this generation builds on.
+    /// The sequence number of the snapshot that this generation builds on.
     base: u64,
     length: u64,
     limit: Option<u64>,
@@ -95,18 +95,18 @@
     _lock: Option<File>,
 }
 
-/// What a directory holds, as [`inspect`] found it.
+/// The contents of a directory, as returned by [`inspect`].
 #[derive(Debug)]
 pub struct Contents {
-    /// The record that the newest snapshot stands for; 0 without one.
+    /// The sequence number of the last record in the newest snapshot; 0 without one.
     pub base: u64,
     /// The newest snapshot.
     pub snapshot: Option<Vec<u8>>,
-    /// The records after it, oldest first.
+    /// The payloads after the snapshot, oldest first.
     pub records: Vec<Vec<u8>>,
-    /// Bytes of the log file.
+    /// Size of the log file, in bytes.
     pub log_bytes: u64,
-    /// Bytes of a torn last record, which opening will cut off.
+    /// Bytes of a torn last record, which opening the directory will cut off.
     pub torn: u64,
 }
 
@@ -126,7 +126,7 @@
     dir.join(format!("log-{base:020}"))
 }
 
-/// The generations of a directory, oldest first; 0 is always there, empty.
+/// The generations of a directory, oldest first. Generation 0 is always listed and has no snapshot.
 fn generations(dir: &Path) -> Result<Vec<u64>, StoreError> {
     let mut found = vec![0];
     for entry in fs::read_dir(dir).map_err(io_at(dir))? {
@@ -151,18 +151,20 @@
     StoreError::Corrupt { path: path.to_owned(), offset: offset as u64, what: what.into() }
 }
 
-/// Reads one generation. A corrupt record in its log ends it: the error comes with what was good before.
+/// Reads one generation. Stops at a corrupt record in its log and returns the error with the records before it.
 fn read_generation(dir: &Path, base: u64) -> Result<(Generation, Option<StoreError>), StoreError> {
     let mut snapshot = None;
     if base > 0 {
         let path = snapshot_path(dir, base);
         let data = read_file(&path)?.unwrap_or_default();
         match record::read(&data, 0) {
-            Read::Complete { sequence, payload, next } if sequence == base && next == data.len() => {
+            Read::Complete { sequence, payload, next }
+                if sequence == base && next == data.len() =>
+            {
                 snapshot = Some(payload.to_vec());
             }
             Read::Corrupt(what) => return Err(corrupt(&path, 0, what)),
-            // A snapshot is renamed into place whole: one that is cut was damaged since.
+            // A snapshot is complete when it is renamed into place, so an incomplete one was damaged later.
             _ => return Err(corrupt(&path, 0, "not one whole snapshot")),
         }
     }
@@ -209,7 +211,7 @@
         if recovery == Recovery::Strict || !matches!(failed, StoreError::Corrupt { .. }) {
             return Err(failed);
         }
-        tracing::error!(error = %failed, "going back to an older snapshot");
+        tracing::error!(error = %failed, "snapshot is corrupt; trying an older one");
         let backup = snapshot_path(dir, base).with_extension("corrupt");
         fs::rename(snapshot_path(dir, base), &backup).map_err(io_at(&backup))?;
         first.get_or_insert(failed);
@@ -217,12 +219,13 @@
     Err(first.unwrap_or_else(|| corrupt(dir, 0, "no generation")))
 }
 
-/// Checks every record of a directory and changes nothing.
+/// Checks every record of a directory without changing anything.
 ///
 /// # Errors
 /// [`StoreError::Corrupt`] with the file and offset, [`StoreError::Io`] where it can't be read.
 pub fn inspect(dir: &Path) -> Result<Contents, StoreError> {
-    let Generation { base, snapshot, records, valid_bytes, file_bytes } = load_newest(dir, Recovery::Strict)?;
+    let Generation { base, snapshot, records, valid_bytes, file_bytes } =
+        load_newest(dir, Recovery::Strict)?;
     Ok(Contents { base, snapshot, records, log_bytes: file_bytes, torn: file_bytes - valid_bytes })
 }
 
@@ -231,12 +234,12 @@
 }
 
 impl Log {
-    /// Opens `dir`, made where it is not there, and checks every record in it. A torn last record is cut off
-    /// and logged. `limit` bounds the bytes of one generation's log, where given.
+    /// Opens `dir`, creating it if necessary, and checks every record in it. A torn last record is cut off and
+    /// logged. `limit` is the maximum size of one generation's log in bytes, if any.
     ///
     /// # Errors
-    /// [`StoreError::Corrupt`] under [`Recovery::Strict`], [`StoreError::InUse`] while another process has
-    /// it, [`StoreError::Io`] otherwise.
+    /// [`StoreError::Corrupt`] under [`Recovery::Strict`], [`StoreError::InUse`] while another process has it
+    /// open, [`StoreError::Io`] otherwise.
     pub fn open(dir: &Path, recovery: Recovery, limit: Option<u64>) -> Result<Opened, StoreError> {
         fs::create_dir_all(dir).map_err(io_at(dir))?;
         let lock_path = dir.join("lock");
@@ -270,27 +273,28 @@
         Ok(Opened { log, snapshot: found.snapshot, records: found.records, cut })
     }
 
-    /// The number of the last record written.
+    /// The sequence number of the last record.
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// Bytes of the log since the last snapshot.
+    /// Size of the log since the last snapshot, in bytes.
     pub fn length(&self) -> u64 {
         self.length
     }
 
-    /// Bytes left under the limit, where there is one.
+    /// Bytes left under the limit, if there is one.
     pub fn remaining(&self) -> Option<u64> {
         self.limit.map(|limit| limit.saturating_sub(self.length))
     }
 
     /// Writes the payloads as one batch and waits until they are on disk. On an error none of them counts as
-    /// written, and what was there before stands.
+    /// written, and earlier records are kept.
     ///
     /// # Errors
-    /// [`StoreError::Full`] where the limit or the disk has no room: the log goes on as it was.
-    /// [`StoreError::Poisoned`] after a failure that left its end unknown.
+    /// [`StoreError::Full`] where the limit is reached or the disk is full; later appends may succeed.
+    /// [`StoreError::TooLong`] for an oversized payload. [`StoreError::Io`] for other failures of the disk.
+    /// [`StoreError::Poisoned`] after a failure that left the end of the log unknown.
     pub fn append<P: AsRef<[u8]>>(&mut self, payloads: &[P]) -> Result<(), StoreError> {
         if self.poisoned {
             return Err(StoreError::Poisoned(self.path.clone()));
@@ -308,7 +312,7 @@
             return Err(StoreError::Full { path: self.dir.clone(), needed: after - limit, limit });
         }
         if let Err(source) = self.file.write_all(&batch) {
-            // Part of it may be there: the file goes back to its last whole record.
+            // Part of the batch may have been written: truncate the file to its last complete record.
             let truncated = self.file.set_len(self.length).and_then(|()| self.file.sync_all());
             self.poisoned = truncated.is_err();
             return Err(match source.kind() {
@@ -320,8 +324,8 @@
             });
         }
         if let Err(source) = self.file.sync_data() {
-            // The kernel may have dropped the pages: a second sync that succeeds would prove nothing, here or after
-            // the next start, which must not find them in the cache.
+            // The kernel may have dropped the unsynced pages, so a later sync that succeeds would prove
+            // nothing. The next start must not find the records in the page cache either.
             self.poisoned = true;
             let _ = self.file.set_len(self.length);
             return Err(StoreError::Io { path: self.path.clone(), source });
@@ -331,11 +335,12 @@
         Ok(())
     }
 
-    /// Starts a new generation from this state, which must hold everything that was appended. The one before
-    /// is kept, older ones are removed.
+    /// Starts a new generation from `state`, which must include everything that was appended. The previous
+    /// generation is kept, older ones are removed.
     ///
     /// # Errors
-    /// [`StoreError::Io`]; the generation in use stays in use.
+    /// [`StoreError::Io`]; the current generation stays in use. [`StoreError::TooLong`] for an oversized state.
+    /// [`StoreError::Poisoned`] after a failure that left the end of the log unknown.
     pub fn compact(&mut self, state: &[u8]) -> Result<(), StoreError> {
         if self.poisoned {
             return Err(StoreError::Poisoned(self.path.clone()));
@@ -350,14 +355,14 @@
         let mut data = Vec::with_capacity(record::HEADER_BYTES + state.len());
         record::encode(base, state, &mut data);
         let log = log_path(&self.dir, base);
-        // One may be left from a generation that was given up.
+        // A file of this name may be left from an attempt that failed.
         let _ = fs::remove_file(&log);
         let file = OpenOptions::new().create(true).append(true).open(&log).map_err(io_at(&log))?;
         file.sync_all().map_err(io_at(&log))?;
         let snapshot = snapshot_path(&self.dir, base);
         if let Err(error) = write_atomically(&snapshot, &data) {
-            // Where it stands all the same, the next start begins from it, and what is appended to the old log
-            // from here on would not be read.
+            // If the snapshot exists despite the error, the next start begins from it and would not read what
+            // is appended to the old log from here on.
             self.poisoned = snapshot.exists();
             return Err(error);
         }
@@ -371,13 +376,13 @@
     }
 }
 
-/// Puts `data` at `path` so that a reader finds the old file or the new one, whole: a temporary file, synced,
-/// renamed over it, and the folder synced.
+/// Replaces the file at `path` with `data` so that a reader finds either the old or the new file, complete:
+/// writes and syncs a temporary file, renames it over the old one and syncs the directory.
 ///
 /// # Errors
-/// [`StoreError::Io`]; the old file stands.
+/// [`StoreError::Io`]; the old file is kept, unless only the sync of the directory failed.
 pub fn write_atomically(path: &Path, data: &[u8]) -> Result<(), StoreError> {
-    // Two processes may put the same file in place, one taking over from the other.
+    // Includes the process id, as two processes may write the same file while one takes over from the other.
     let temporary = path.with_extension(format!("tmp{}", std::process::id()));
     let write = || -> io::Result<()> {
         let mut file = File::create(&temporary)?;
--- a/src/store/log/tests.rs
+++ b/src/store/log/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn records_and_snapshots_outlive_the_process_and_a_second_one_is_kept_out() {
+fn reopened_log_holds_its_records_and_is_locked_while_open() {
     let dir = Dir::new("reopen");
     let mut log = dir.open().expect("opens").log;
     assert!(matches!(dir.open(), Err(StoreError::InUse(_))));
@@ -35,50 +35,50 @@
 }
 
 #[test]
-fn a_log_cut_at_every_byte_of_its_last_record_opens_without_it() {
+fn torn_last_record_is_cut_off() {
     let dir = Dir::new("cut");
     let mut log = dir.open().expect("opens").log;
     log.append(&["first", "second"]).expect("written");
-    let whole = log.length();
+    let complete = log.length();
     log.append(&["the last"]).expect("written");
     let path = log.path.clone();
     drop(log);
     let data = fs::read(&path).expect("readable");
-    for cut in whole..data.len() as u64 {
+    for cut in complete..data.len() as u64 {
         fs::write(&path, &data[..cut as usize]).expect("cut");
-        let opened = dir.open().expect("a torn record is no error");
-        assert_eq!((opened.records.len(), opened.cut), (2, cut - whole));
+        let opened = dir.open().expect("a torn record is not an error");
+        assert_eq!((opened.records.len(), opened.cut), (2, cut - complete));
     }
 }
 
 #[test]
-fn a_flipped_byte_is_refused_with_its_offset_and_restored_only_on_word() {
+fn corrupt_record_is_refused_unless_recovery_is_requested() {
     let dir = Dir::new("flip");
     let mut log = dir.open().expect("opens").log;
     log.append(&["zero"]).expect("written");
     log.compact(b"snapshot").expect("compacted");
     log.append(&["first"]).expect("written");
-    let second = log.length();
+    let second_offset = log.length();
     log.append(&["second", "third"]).expect("written");
     let path = log.path.clone();
     drop(log);
     let mut data = fs::read(&path).expect("readable");
-    data[second as usize + record::HEADER_BYTES + 2] ^= 4;
-    fs::write(&path, &data).expect("spoilt");
+    data[second_offset as usize + record::HEADER_BYTES + 2] ^= 4;
+    fs::write(&path, &data).expect("corrupted");
     for _ in 0..2 {
         let refused = dir.open().expect_err("refused");
-        assert!(matches!(refused, StoreError::Corrupt { offset, .. } if offset == second));
+        assert!(matches!(refused, StoreError::Corrupt { offset, .. } if offset == second_offset));
     }
-    let opened = Log::open(&dir.0, Recovery::LastGoodSnapshot, None).expect("on word");
+    let opened = Log::open(&dir.0, Recovery::LastGoodSnapshot, None).expect("recovered");
     assert_eq!(opened.snapshot.as_deref(), Some(&b"snapshot"[..]));
     assert_eq!(opened.records, [b"first"]);
     drop(opened);
-    assert!(path.with_extension("corrupt").exists(), "what was corrupt is kept");
-    assert_eq!(dir.open().expect("sound again").records, [b"first"]);
+    assert!(path.with_extension("corrupt").exists(), "the corrupt log is kept");
+    assert_eq!(dir.open().expect("valid after the recovery").records, [b"first"]);
 }
 
 #[test]
-fn a_corrupt_snapshot_goes_back_one_generation_on_word_only() {
+fn corrupt_snapshot_falls_back_only_if_recovery_is_requested() {
     let dir = Dir::new("back");
     let mut log = dir.open().expect("opens").log;
     for state in ["one", "two", "three"] {
@@ -90,16 +90,16 @@
     let data = fs::read(&path).expect("readable");
     fs::write(&path, &data[..data.len() - 1]).expect("cut");
     assert!(matches!(dir.open(), Err(StoreError::Corrupt { offset: 0, .. })));
-    let opened = Log::open(&dir.0, Recovery::LastGoodSnapshot, None).expect("on word");
+    let opened = Log::open(&dir.0, Recovery::LastGoodSnapshot, None).expect("recovered");
     assert_eq!(opened.snapshot.as_deref(), Some(&b"two"[..]));
     assert_eq!(opened.records, [b"three"], "the log after it still holds the rest");
 }
 
 #[test]
-fn a_full_store_says_so_and_keeps_what_it_acknowledged() {
+fn full_store_keeps_acknowledged_records() {
     let dir = Dir::new("full");
     let mut log = Log::open(&dir.0, Recovery::Strict, Some(100)).expect("opens").log;
-    log.append(&[[1; 40]]).expect("room");
+    log.append(&[[1; 40]]).expect("within the limit");
     assert!(matches!(log.append(&[[2; 40]]), Err(StoreError::Full { needed: 20, .. })));
     log.append(&[[3; 20]]).expect("a smaller one still fits");
     drop(log);
--- a/src/store/record/tests.rs
+++ b/src/store/record/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn three() -> (Vec<u8>, Vec<usize>) {
+fn three_records() -> (Vec<u8>, Vec<usize>) {
     let (mut data, mut at) = (Vec::new(), Vec::new());
     for (i, payload) in [&b"one"[..], b"", b"the third record"].iter().enumerate() {
         at.push(data.len());
@@ -12,8 +12,8 @@
 }
 
 #[test]
-fn a_cut_at_any_byte_of_the_last_record_is_torn_and_never_corrupt() {
-    let (data, at) = three();
+fn truncated_record_is_torn_and_never_corrupt() {
+    let (data, at) = three_records();
     for cut in at[2] + 1..data.len() {
         assert_eq!(read(&data[..cut], at[2]), Read::Torn, "cut at {cut}");
     }
@@ -21,8 +21,8 @@
 }
 
 #[test]
-fn a_flipped_bit_anywhere_is_corrupt_and_never_torn() {
-    let (data, at) = three();
+fn flipped_bit_is_corrupt_and_never_torn() {
+    let (data, at) = three_records();
     for byte in at[0]..at[1] {
         for bit in 0..8 {
             let mut corrupted = data.clone();
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn sectors_that_were_never_written_are_torn() {
+fn unwritten_sectors_are_torn() {
     let (mut data, mut at) = (Vec::new(), 0);
     for sequence in 1..=2 {
         at = data.len();
@@ -43,10 +43,10 @@
     corrupted[at + HEADER_BYTES + 1000..].fill(0);
     assert_eq!(read(&corrupted, at), Read::Torn, "the end of its payload");
     corrupted[at..].fill(0);
-    assert_eq!(read(&corrupted, at), Read::Torn, "all of it");
+    assert_eq!(read(&corrupted, at), Read::Torn, "the complete record");
     let mut corrupted = data;
     corrupted[at - 3] = 0;
-    assert!(matches!(read(&corrupted, 0), Read::Corrupt(_)), "one zero in the middle is no tear");
+    assert!(matches!(read(&corrupted, 0), Read::Corrupt(_)), "a single zero byte is not torn");
 }
 
 proptest! {
@@ -57,7 +57,7 @@
     }
 
     #[test]
-    fn what_was_written_is_read(payloads in proptest::collection::vec(
+    fn written_records_are_read_back(payloads in proptest::collection::vec(
         proptest::collection::vec(any::<u8>(), 0..80), 0..8)) {
         let mut data = Vec::new();
         for (i, payload) in payloads.iter().enumerate() {
@@ -66,7 +66,7 @@
         let mut at = 0;
         for (i, payload) in payloads.iter().enumerate() {
             let Read::Complete { sequence, payload: read, next } = read(&data, at) else {
-                return Err(TestCaseError::fail("not whole"));
+                return Err(TestCaseError::fail("incomplete record"));
             };
             prop_assert_eq!((sequence, read), (i as u64, &payload[..]));
             at = next;
