--- a/src/bin/hollowpaddle/engine.rs
+++ b/src/bin/hollowpaddle/engine.rs
@@ -10,11 +10,11 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use hollowpaddle::discovery::client::{self, News, Order};
+use hollowpaddle::discovery::client::{self, ClientCommand, ListEvent};
 use hollowpaddle::discovery::filter::Filter;
-use hollowpaddle::discovery::follow::{Follow, Mode};
-use hollowpaddle::discovery::keeper::Keeper;
+use hollowpaddle::discovery::list_cache::ListCache;
 use hollowpaddle::discovery::member::Message as List;
+use hollowpaddle::discovery::watch_planner::{Mode, WatchPlanner};
 use hollowpaddle::figures::Figures;
 use hollowpaddle::interface as d;
 use hollowpaddle::interface::{Action, Event, ListKind, Outcome, RequestId, ServerId, Span, Time};
@@ -116,7 +116,7 @@
     clock: Clock,
     notes: mpsc::UnboundedReceiver<Note>,
     /// Of the list; these come before all notes.
-    news: mpsc::UnboundedReceiver<News>,
+    news: mpsc::UnboundedReceiver<ListEvent>,
     own_notes: mpsc::UnboundedSender<Note>,
     requests: FxHashMap<RequestId, Held>,
     timers: BinaryHeap<Reverse<(Instant, Due)>>,
@@ -127,11 +127,11 @@
     ready: Rc<Cell<bool>>,
     routing: Rc<RefCell<Rc<Routing>>>,
     figures: Rc<Figures>,
-    keeper: Option<Keeper>,
+    keeper: Option<ListCache>,
     /// Once the process ends: no answer may be later.
     ending: Option<Instant>,
     /// To the client of the list.
-    orders: mpsc::UnboundedSender<Order>,
+    orders: mpsc::UnboundedSender<ClientCommand>,
     lateness: Rc<Lateness>,
     /// A timer that fires so late tells that the process stood still for too long to know its list.
     stall: Duration,
@@ -175,7 +175,7 @@
         config: &Config,
         pool: Rc<Pool>,
         figures: Rc<Figures>,
-        keeper: Option<Keeper>,
+        keeper: Option<ListCache>,
     ) -> Result<(Self, Handle), d::SettingsError> {
         let clock = Clock::new();
         let settings = config.facts.settings();
@@ -193,7 +193,8 @@
         };
         let second_copies = settings.limits.second_copies;
         let max_attempts = settings.limits.max_attempts;
-        let kept = keeper.as_ref().map(Keeper::list).filter(|l| l.revision > config.known.revision);
+        let kept =
+            keeper.as_ref().map(ListCache::list).filter(|l| l.revision > config.known.revision);
         let mut known = kept.unwrap_or(&config.known).clone();
         let narrowed = config.catalog.narrow(&mut known);
         // What is kept from now on are changes to the list that is held.
@@ -201,9 +202,10 @@
             keeper.keep(known.clone());
         }
         let grace = Duration::from_micros(settings.rules.drain_grace.0.max(0) as u64);
-        let mode = if settings.must_ask { Mode::Asked } else { Mode::Pushed { grace } };
-        let follow = Follow::new(config.discovery.clone(), mode, known.revision, Instant::now());
-        let follow = if narrowed.whole { follow } else { follow.asking_whole() };
+        let mode = if settings.must_ask { Mode::OnDemand } else { Mode::Pushed { grace } };
+        let follow =
+            WatchPlanner::new(config.discovery.clone(), mode, known.revision, Instant::now());
+        let follow = if narrowed.whole { follow } else { follow.requesting_full_list() };
         let (orders, ordered) = mpsc::unbounded_channel();
         let (tell, news) = mpsc::unbounded_channel();
         let tell = move |news| drop(tell.send(news));
@@ -312,7 +314,7 @@
                 self.catch_up();
             }
             // At once: the old address soon ends its watch, and what is missed meanwhile counts as told.
-            Note::DiscoveryMoved(addresses) => self.order(Order::Moved(addresses)),
+            Note::DiscoveryMoved(addresses) => self.order(ClientCommand::SetAddresses(addresses)),
             Note::Reload(catalog) => self.reload(catalog),
             Note::Ending(by) => {
                 self.ending = Some(by);
@@ -325,15 +327,15 @@
         }
     }
 
-    fn heard(&mut self, news: News) {
+    fn heard(&mut self, news: ListEvent) {
         match news {
-            News::Told(list) => {
+            ListEvent::Updated(list) => {
                 self.listed(&list, if list.complete { ListKind::Whole } else { ListKind::Update });
                 if let Some(keeper) = &self.keeper {
                     keeper.keep(list);
                 }
             }
-            News::Lost => {
+            ListEvent::Disconnected => {
                 for service in self.services.ids() {
                     self.tell(service, Event::Members { kind: ListKind::Unavailable, list: &[] });
                 }
@@ -363,7 +365,7 @@
             self.figures.serve(name, classes);
         }
         if added + removed > 0 {
-            self.order(Order::Filter(filter(&reloaded.routing.catalog)));
+            self.order(ClientCommand::SetFilter(filter(&reloaded.routing.catalog)));
         }
         self.routing.replace(reloaded.routing);
         self.changed(&reloaded.changes);
@@ -379,7 +381,7 @@
         }
     }
 
-    fn order(&self, order: Order) {
+    fn order(&self, order: ClientCommand) {
         // Its client lives as long as the engine.
         let _ = self.orders.send(order);
     }
@@ -615,7 +617,7 @@
                 self.timers.push(Reverse((self.clock.instant(at), Due::Token(service, token))));
             }
             Action::CloseIdle { server } => self.pool.close_idle(server),
-            Action::Subscribe => self.order(Order::Ask),
+            Action::Subscribe => self.order(ClientCommand::Poll),
             // UpstreamTable here take no probes, and the module sends none where that is so.
             Action::Probe { .. } => {}
         }
--- a/src/bin/hollowpaddle/main.rs
+++ b/src/bin/hollowpaddle/main.rs
@@ -22,7 +22,7 @@
 use clap::Parser;
 use hollowpaddle::cli::{CheckArgs, Cli, Command, EXIT_CONFIG, EXIT_ROLLED_BACK, Role};
 use hollowpaddle::discovery::config::DiscoveryConfig;
-use hollowpaddle::discovery::keeper::Keeper;
+use hollowpaddle::discovery::list_cache::ListCache;
 use hollowpaddle::figures::Figures;
 use hollowpaddle::release::plan::Plan;
 use hollowpaddle::roles::{self, RoleError};
@@ -129,7 +129,7 @@
     for (service, classes) in engine::named(&config.catalog) {
         figures.serve(service, classes);
     }
-    let keeper = config.state_dir.as_deref().map(Keeper::open).transpose();
+    let keeper = config.state_dir.as_deref().map(ListCache::open).transpose();
     let keeper = keeper.map_err(|e| format!("state_dir: {e}"))?;
     let memory = Memory::new(config.memory / KEPT_OF_MEMORY);
     let pool = Pool::new(budget.upstreams, &config, &figures, memory.clone());
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -1,4 +1,4 @@
-//! The client of the list: makes the calls that [`Follow`] decides on, and hands on what is told.
+//! The client of the list: makes the calls that [`WatchPlanner`] decides on, and hands on what is told.
 //!
 //! One task for as long as the client lives, and one for each call (PROTOCOL, "Discovery"). Runs inside a
 //! `LocalSet`.
@@ -19,40 +19,40 @@
 use tokio::time::{Instant, sleep_until};
 
 use super::filter::Filter;
-use super::follow::{Follow, Step, Verdict};
 use super::member::{Message, MessageError, Phase};
 use super::objects::{ObjectError, Objects};
+use super::watch_planner::{Step, Verdict, WatchPlanner};
 use crate::socket::Socket;
 use crate::tasks::{AbortOnDrop, settle};
 
 /// No object of a list is longer than this, in bytes: some ten thousand members; more is not discovery.
-const LONGEST_OBJECT: usize = 4 << 20;
+const MAX_OBJECT_BYTES: usize = 4 << 20;
 
 /// A timer that fires later than this tells that the process stood still: what is silent may be what was not read.
-const STALL: Duration = Duration::from_millis(250);
+const STALL_THRESHOLD: Duration = Duration::from_millis(250);
 /// Troubles that no call ends with.
-const SILENT: &str = "silence";
-const OLDER: &str = "an older list";
+const IDLE: &str = "silence";
+const OLDER_LIST: &str = "an older list";
 
 /// What the client is told by its owner.
 #[derive(Debug)]
-pub enum Order {
+pub enum ClientCommand {
     /// Call now, where lists are asked for.
-    Ask,
+    Poll,
     /// The list is to be had from these addresses from now on.
-    Moved(Vec<SocketAddr>),
+    SetAddresses(Vec<SocketAddr>),
     /// These services are followed from now on. What is told next is their whole list, of the revision held or a later
     /// one; of the services before, nothing more is told.
-    Filter(Filter),
+    SetFilter(Filter),
 }
 
 /// What the client tells.
 #[derive(Debug)]
-pub enum News {
+pub enum ListEvent {
     /// The list changed; never older than what was told before, unless discovery has moved.
-    Told(Message),
+    Updated(Message),
     /// Nothing is watched; told where lists are asked for.
-    Lost,
+    Disconnected,
 }
 
 #[derive(Debug, thiserror::Error)]
@@ -74,10 +74,10 @@
 }
 
 /// What a call's task says.
-enum Word {
+enum CallEvent {
     Answered,
-    Spoke,
-    Told(Message),
+    Alive,
+    Update(Message),
     Ended(WatchError),
 }
 
@@ -91,112 +91,112 @@
     Ok(Socket::new(stream))
 }
 
-/// Follows the list, or the services of it that `filter` takes, until `orders` is closed. `connect` opens a connection,
+/// Follows the list, or the services of it that `filter` takes, until `commands` is closed. `connect` opens a connection,
 /// [`connect`] in service.
 pub async fn run<C, F, S>(
-    mut follow: Follow,
+    mut planner: WatchPlanner,
     mut filter: Filter,
     connect: C,
-    mut orders: mpsc::UnboundedReceiver<Order>,
-    tell: impl Fn(News),
+    mut commands: mpsc::UnboundedReceiver<ClientCommand>,
+    notify: impl Fn(ListEvent),
 ) where
     C: Fn(SocketAddr) -> F,
     F: Future<Output = std::io::Result<S>> + 'static,
     S: AsyncRead + AsyncWrite + Unpin + 'static,
 {
-    let (say, mut words) = mpsc::unbounded_channel();
+    let (events, mut received) = mpsc::unbounded_channel();
     let mut calls: FxHashMap<u64, AbortOnDrop> = FxHashMap::default();
     // Each cause is logged once until a watch speaks: a call that fails is soon made again.
-    let mut trouble = String::new();
+    let mut last_cause = String::new();
     loop {
-        for step in follow.steps() {
+        for step in planner.steps() {
             match step {
                 Step::Call { serial, address, index } => {
-                    let (stream, say) = (connect(address), say.clone());
+                    let (stream, events) = (connect(address), events.clone());
                     let uri = format!("/api/targets?stream=1&index={index}{}", filter.query());
                     let call = tokio::task::spawn_local(async move {
-                        let word = |word| drop(say.send((serial, address, word)));
-                        if let Err(cause) = watch(stream, address, uri, word).await {
-                            word(Word::Ended(cause));
+                        let report = |event| drop(events.send((serial, address, event)));
+                        if let Err(cause) = watch(stream, address, uri, report).await {
+                            report(CallEvent::Ended(cause));
                         }
                     });
                     calls.insert(serial, AbortOnDrop(call));
                 }
                 Step::Drop(serial) => drop(calls.remove(&serial)),
-                Step::Lost => tell(News::Lost),
+                Step::Disconnected => notify(ListEvent::Disconnected),
             }
         }
         let due = async {
-            match follow.due() {
+            match planner.due() {
                 Some(due) => sleep_until(due).await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
-            order = orders.recv() => match order {
-                Some(Order::Ask) => follow.ask(Instant::now()),
-                Some(Order::Moved(addresses)) => follow.moved(addresses, Instant::now()),
-                Some(Order::Filter(other)) if other != filter => {
+            command = commands.recv() => match command {
+                Some(ClientCommand::Poll) => planner.poll(Instant::now()),
+                Some(ClientCommand::SetAddresses(addresses)) => planner.set_addresses(addresses, Instant::now()),
+                Some(ClientCommand::SetFilter(other)) if other != filter => {
                     filter = other;
-                    follow.refiltered(Instant::now());
+                    planner.filter_changed(Instant::now());
                 }
-                Some(Order::Filter(_)) => {}
+                Some(ClientCommand::SetFilter(_)) => {}
                 None => return,
             },
-            word = words.recv() => {
+            event = received.recv() => {
                 // We hold a sender of it ourselves.
-                let Some((serial, address, word)) = word else { return };
+                let Some((serial, address, event)) = event else { return };
                 let now = Instant::now();
-                match word {
-                    Word::Answered => follow.answered(serial, now),
-                    Word::Spoke => {
-                        if follow.spoke(serial, now) && !trouble.is_empty() {
-                            tracing::info!(%address, after = trouble, "the list is watched again");
-                            trouble.clear();
+                match event {
+                    CallEvent::Answered => planner.answered(serial, now),
+                    CallEvent::Alive => {
+                        if planner.alive(serial, now) && !last_cause.is_empty() {
+                            tracing::info!(%address, after = last_cause, "the list is watched again");
+                            last_cause.clear();
                         }
                     }
-                    Word::Told(mut list) => {
-                        let (held, told) = (follow.revision(), list.revision);
-                        if follow.whole() && !list.complete {
+                    CallEvent::Update(mut list) => {
+                        let (held, told) = (planner.revision(), list.revision);
+                        if planner.needs_full_list() && !list.complete {
                             // All changes there were.
                             list.complete = true;
                             list.members.retain(|m| m.phase != Phase::Deleted);
                         }
-                        filter.narrow(&mut list);
-                        match follow.told(serial, told, now) {
-                            Verdict::Take => tell(News::Told(list)),
-                            Verdict::Older if trouble != OLDER => {
+                        filter.apply_to(&mut list);
+                        match planner.update_received(serial, told, now) {
+                            Verdict::Accept => notify(ListEvent::Updated(list)),
+                            Verdict::Older if last_cause != OLDER_LIST => {
                                 tracing::warn!(%address, held, told, "an older list is left aside");
-                                trouble = OLDER.to_owned();
+                                last_cause = OLDER_LIST.to_owned();
                             }
                             Verdict::Older => {}
-                            Verdict::Nobody => {}
+                            Verdict::ClosedCall => {}
                         }
                     }
-                    Word::Ended(cause) => {
+                    CallEvent::Ended(cause) => {
                         calls.remove(&serial);
-                        follow.ended(serial, now);
+                        planner.ended(serial, now);
                         let cause = cause.to_string();
-                        if trouble != cause {
-                            let revision = follow.revision();
+                        if last_cause != cause {
+                            let revision = planner.revision();
                             tracing::info!(cause, %address, revision, "watch over");
-                            trouble = cause;
+                            last_cause = cause;
                         }
                     }
                 }
             }
             () = due => {
-                if follow.due().is_some_and(|due| due.elapsed() > STALL) {
-                    settle(|| !words.is_empty()).await;
-                    if !words.is_empty() {
+                if planner.due().is_some_and(|due| due.elapsed() > STALL_THRESHOLD) {
+                    settle(|| !received.is_empty()).await;
+                    if !received.is_empty() {
                         continue;
                     }
                 }
-                if !calls.is_empty() && trouble != SILENT {
-                    tracing::info!(revision = follow.revision(), "the list is silent");
-                    trouble = SILENT.to_owned();
+                if !calls.is_empty() && last_cause != IDLE {
+                    tracing::info!(revision = planner.revision(), "the list is silent");
+                    last_cause = IDLE.to_owned();
                 }
-                follow.pass(Instant::now());
+                planner.tick(Instant::now());
             }
         }
     }
@@ -207,7 +207,7 @@
     connecting: impl Future<Output = std::io::Result<S>>,
     address: SocketAddr,
     uri: String,
-    say: impl Fn(Word),
+    report: impl Fn(CallEvent),
 ) -> Result<(), WatchError>
 where
     S: AsyncRead + AsyncWrite + Unpin + 'static,
@@ -222,16 +222,16 @@
     if !response.status().is_success() {
         return Err(WatchError::Status(response.status()));
     }
-    say(Word::Answered);
+    report(CallEvent::Answered);
     let mut body = response.into_body();
-    let mut objects = Objects::new(LONGEST_OBJECT);
+    let mut objects = Objects::new(MAX_OBJECT_BYTES);
     loop {
         let frame = body.frame().await.ok_or(WatchError::Ended)??;
         let Ok(data) = frame.into_data() else { continue };
         objects.add(&data);
         while let Some(object) = objects.take()? {
-            say(Word::Told(Message::read(&object)?));
+            report(CallEvent::Update(Message::read(&object)?));
         }
-        say(Word::Spoke);
+        report(CallEvent::Alive);
     }
 }
--- a/src/discovery/filter.rs
+++ b/src/discovery/filter.rs
@@ -8,7 +8,7 @@
 use super::member::{Message, Phase};
 
 /// What a query may have as it is (RFC 3986, "Unreserved Characters").
-const ENCODED: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'.').remove(b'_').remove(b'~');
+const ENCODE_SET: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'.').remove(b'_').remove(b'~');
 
 /// All members, or those of some services. All names together are bounded by the head of a call: 64 KiB, encoded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -31,18 +31,18 @@
     }
 
     /// Whether members of this service are told of.
-    pub fn takes(&self, service: &str) -> bool {
+    pub fn matches(&self, service: &str) -> bool {
         self.0.as_ref().is_none_or(|names| names.contains(service))
     }
 
     /// What a call's query says of it, behind other parameters. A call can't name no service: it asks for the
-    /// members without one, and [`Self::narrow`] leaves them out.
+    /// members without one, and [`Self::apply_to`] leaves them out.
     pub fn query(&self) -> String {
         let Some(names) = &self.0 else { return String::new() };
         if names.is_empty() {
             return "&service=".to_owned();
         }
-        names.iter().map(|n| format!("&service={}", utf8_percent_encode(n, ENCODED))).collect()
+        names.iter().map(|n| format!("&service={}", utf8_percent_encode(n, ENCODE_SET))).collect()
     }
 
     /// Takes in one `service` of a query.
@@ -57,12 +57,13 @@
 
     /// Makes a message one of this filter where it was told by somebody who knows none: what is another service's
     /// is left out of a whole list, and gone in a change. An entry that can't be read may be anybody's.
-    pub fn narrow(&self, message: &mut Message) {
-        let taken = |m: &super::member::Member| self.takes(&m.service) || m.phase == Phase::Unknown;
+    pub fn apply_to(&self, message: &mut Message) {
+        let keep =
+            |m: &super::member::Member| self.matches(&m.service) || m.phase == Phase::Unknown;
         if message.complete {
-            message.members.retain(taken);
+            message.members.retain(keep);
         }
-        let others = message.members.iter_mut().filter(|m| !taken(m));
+        let others = message.members.iter_mut().filter(|m| !keep(m));
         others.for_each(|m| m.phase = Phase::Deleted);
     }
 }
--- a/src/discovery/filter/tests.rs
+++ b/src/discovery/filter/tests.rs
@@ -1,7 +1,7 @@
 use proptest::prelude::*;
 
 use super::*;
-use crate::discovery::kept::tests::new;
+use crate::discovery::stored_format::tests::new;
 
 /// The filter that a service reads out of a query.
 fn read(query: &str) -> Filter {
@@ -16,7 +16,7 @@
 
 proptest! {
     #[test]
-    fn any_names_are_read_as_they_were_asked_for(
+    fn query_round_trips_any_names(
         names in proptest::collection::vec("[a-z%&=+# ./é\u{1F600}-]{0,6}", 1..5),
     ) {
         let filter = Filter::services(names);
@@ -25,19 +25,19 @@
 }
 
 #[test]
-fn a_query_names_services_and_nothing_where_all_are_asked_for() {
+fn query_lists_services_and_is_empty_for_all() {
     assert_eq!(Filter::all().query(), "");
     assert_eq!(Filter::services(["b", "a/1", "b"]).query(), "&service=a%2F1&service=b");
     assert!(Filter::all().add("%ff").is_err());
 }
 
 #[test]
-fn a_list_that_was_not_filtered_is_narrowed() {
+fn unfiltered_message_is_filtered() {
     let unreadable = crate::discovery::member::Member { phase: Phase::Unknown, ..new("c", "") };
     let members = vec![new("a", "s"), new("b", "t"), unreadable];
     let told = |filter: &Filter, complete| {
         let mut message = Message { revision: 7, complete, members: members.clone() };
-        filter.narrow(&mut message);
+        filter.apply_to(&mut message);
         let entry = |m: crate::discovery::member::Member| (m.id, m.phase);
         message.members.into_iter().map(entry).collect::<Vec<_>>()
     };
--- a/src/discovery/keeper.rs
+++ b/src/discovery/list_cache.rs
@@ -9,8 +9,8 @@
 use std::thread;
 use std::time::Duration;
 
-use super::kept::List;
 use super::member::Message;
+use super::stored_format::List;
 use crate::store::StoreError;
 use crate::store::log::write_whole;
 use crate::store::record::{self, Read};
@@ -18,24 +18,24 @@
 /// The file's name.
 pub const FILE: &str = "last-list";
 /// How long after a failed write the list is written once more.
-const RETRY: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// The list found at the start, and who keeps what it becomes.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct ListCache {
     list: Message,
     writer: mpsc::Sender<Message>,
 }
 
 /// Why a kept list is not used.
 #[derive(Debug, thiserror::Error)]
-pub enum KeptError {
+pub enum ListCacheError {
     /// It can't be read.
     #[error("{0}")]
     Store(#[from] StoreError),
     /// It is no list.
     #[error("{}: {cause}", path.display())]
-    Spoilt {
+    Corrupted {
         /// The file.
         path: PathBuf,
         /// Why.
@@ -46,22 +46,23 @@
 /// Reads the list kept in `dir`; `None` where none was kept yet.
 ///
 /// # Errors
-/// [`KeptError`].
-pub fn read(dir: &Path) -> Result<Option<Message>, KeptError> {
+/// [`ListCacheError`].
+pub fn read(dir: &Path) -> Result<Option<Message>, ListCacheError> {
     let path = dir.join(FILE);
     let data = match std::fs::read(&path) {
         Ok(data) => data,
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(None),
         Err(source) => return Err(StoreError::Io { path, source }.into()),
     };
-    let spoilt = |cause: String| KeptError::Spoilt { path: path.clone(), cause };
+    let corrupted = |cause: String| ListCacheError::Corrupted { path: path.clone(), cause };
     match record::read(&data, 0) {
         Read::Whole { payload, next, .. } if next == data.len() => {
-            let kept: List = postcard::from_bytes(payload).map_err(|e| spoilt(e.to_string()))?;
-            Ok(Some(kept.into()))
+            let stored: List =
+                postcard::from_bytes(payload).map_err(|e| corrupted(e.to_string()))?;
+            Ok(Some(stored.into()))
         }
-        Read::Corrupt(what) => Err(spoilt(format!("corrupt record at offset 0: {what}"))),
-        _ => Err(spoilt("not one whole record".into())),
+        Read::Corrupt(what) => Err(corrupted(format!("corrupt record at offset 0: {what}"))),
+        _ => Err(corrupted("not one whole record".into())),
     }
 }
 
@@ -73,18 +74,18 @@
 }
 
 /// Waits for news, or for the time to write once more what could not be kept; `None` once there will be no more news.
-fn next(news: &mpsc::Receiver<Message>, is_kept: bool) -> Option<Option<Message>> {
-    if is_kept {
-        return news.recv().ok().map(Some);
+fn next_update(updates: &mpsc::Receiver<Message>, is_stored: bool) -> Option<Option<Message>> {
+    if is_stored {
+        return updates.recv().ok().map(Some);
     }
-    match news.recv_timeout(RETRY) {
+    match updates.recv_timeout(RETRY_DELAY) {
         Ok(message) => Some(Some(message)),
         Err(RecvTimeoutError::Timeout) => Some(None),
         Err(RecvTimeoutError::Disconnected) => None,
     }
 }
 
-impl Keeper {
+impl ListCache {
     /// Opens `dir`, made where it is not there, with the list that it holds, if any.
     ///
     /// # Errors
@@ -99,15 +100,15 @@
                 Message::default()
             }
         };
-        let (writer, news) = mpsc::channel::<Message>();
-        let (dir, mut kept) = (dir.to_owned(), list.clone());
+        let (writer, updates) = mpsc::channel::<Message>();
+        let (dir, mut stored) = (dir.to_owned(), list.clone());
         let spawned = thread::Builder::new().name("keeper".into()).spawn(move || {
-            let mut is_kept = true;
-            while let Some(first) = next(&news, is_kept) {
+            let mut is_stored = true;
+            while let Some(first) = next_update(&updates, is_stored) {
                 // What came since goes into the same write.
-                first.into_iter().chain(news.try_iter()).for_each(|n| kept.update(&n));
-                let written = write(&dir, &kept);
-                is_kept = written.is_ok();
+                first.into_iter().chain(updates.try_iter()).for_each(|n| stored.update(&n));
+                let written = write(&dir, &stored);
+                is_stored = written.is_ok();
                 if let Err(error) = written {
                     tracing::warn!(%error, "the last list is not kept");
                 }
@@ -126,8 +127,8 @@
 
     /// Has the list written with these news taken in: the proxy's thread hands on what changed, however long the
     /// list is.
-    pub fn keep(&self, news: Message) {
-        let _ = self.writer.send(news);
+    pub fn keep(&self, update: Message) {
+        let _ = self.writer.send(update);
     }
 }
 
--- a/src/discovery/keeper/tests.rs
+++ b/src/discovery/list_cache/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_list_is_read_back_or_said_to_be_spoilt_at_any_cut_and_flip() {
+fn truncated_or_corrupted_list_is_rejected() {
     let dir = std::env::temp_dir().join(format!("keeper-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
     assert!(read(&dir).is_ok_and(|l| l.is_none()));
@@ -24,12 +24,12 @@
 }
 
 #[test]
-fn a_list_that_could_not_be_written_is_kept_once_the_disk_takes_writes() {
+fn failed_write_is_retried_without_further_updates() {
     let dir = std::env::temp_dir().join(format!("keeper-retry-{}", std::process::id()));
-    let keeper = Keeper::open(&dir).expect("a folder");
+    let cache = ListCache::open(&dir).expect("a folder");
     std::fs::remove_dir_all(&dir).expect("removed: writes fail");
     let list = Message { revision: 7, complete: true, members: Vec::new() };
-    keeper.keep(list.clone());
+    cache.keep(list.clone());
     thread::sleep(Duration::from_millis(100));
     std::fs::create_dir_all(&dir).expect("a folder again");
     let from = std::time::Instant::now();
--- a/src/discovery/management.rs
+++ b/src/discovery/management.rs
@@ -101,7 +101,7 @@
             };
         }
         if path == "/admin/members" && call.method == Method::GET {
-            let line = self.host.read(|m| m.list().whole(&Filter::all()).line());
+            let line = self.host.read(|m| m.list().full_list(&Filter::all()).line());
             return calls::text(StatusCode::OK, "application/json", line);
         }
         let reads = ["/admin/health", "/admin/stats", "/admin/leases", "/metrics"];
@@ -118,8 +118,8 @@
         match (reads.contains(&path), writes.contains(&path)) {
             (true, _) if call.method == Method::GET => self.read(path),
             (_, true) if call.method == Method::POST => match self.command(path, &call.body) {
-                Ok(Asked::Command(command)) => self.write(command).await,
-                Ok(Asked::Renewed(reply)) => reply,
+                Ok(ManagementCall::Command(command)) => self.write(command).await,
+                Ok(ManagementCall::MemberRenewed(reply)) => reply,
                 Err(cause) => error(StatusCode::BAD_REQUEST, cause),
             },
             (false, false) => error(StatusCode::NOT_FOUND, "no such call"),
@@ -163,10 +163,15 @@
         let (revision, members) = self.host.read(|m| (m.list().revision(), m.list().len()));
         text.gauge("list_revision", "Revision of the list here", &[], revision);
         text.gauge("list_members", "Members in the list", &[], members as u64);
-        let looked = self.host.read(|m| m.list().looked());
-        text.counter("list_looked", "Entries looked at to tell lists and changes", &[], looked);
-        let made = self.service.made();
-        text.counter("list_lines", "Lines made for watches; shared ones once", &[], made);
+        let entries_read = self.host.read(|m| m.list().entries_read());
+        text.counter(
+            "list_looked",
+            "Entries looked at to tell lists and changes",
+            &[],
+            entries_read,
+        );
+        let lines_built = self.service.lines_built();
+        text.counter("list_lines", "Lines made for watches; shared ones once", &[], lines_built);
         text.gauge("list_watches", "Watches open here", &[], self.service.watches());
         text.gauge("replica_term", "Term of the consensus", &[], term);
         text.gauge(
@@ -206,8 +211,8 @@
     }
 
     /// What a body asks for; a renewal of a member is the leader's own affair and needs no decision.
-    fn command(&self, path: &str, body: &[u8]) -> Result<Asked, String> {
-        Ok(Asked::Command(match path {
+    fn command(&self, path: &str, body: &[u8]) -> Result<ManagementCall, String> {
+        Ok(ManagementCall::Command(match path {
             "/admin/members" => {
                 let Register { member, ttl_ms, fence } = read(body)?;
                 if let Some((key, cause)) = member.fault() {
@@ -220,10 +225,10 @@
             }
             "/admin/members/renew" => {
                 let Named { id } = read(body)?;
-                return Ok(Asked::Renewed(match self.host.renew_member(&id) {
+                return Ok(ManagementCall::MemberRenewed(match self.host.renew_member(&id) {
                     Ok(true) => say(StatusCode::OK, &json!({})),
                     Ok(false) => error(StatusCode::NOT_FOUND, "no such member with a TTL"),
-                    Err(why) => unwritten(why),
+                    Err(why) => write_error(why),
                 }));
             }
             "/admin/members/leave" => {
@@ -273,14 +278,14 @@
             }
             Ok(Outcome::Unknown) => error(StatusCode::NOT_FOUND, "no such member"),
             Ok(Outcome::Refused(refusal)) => error(StatusCode::CONFLICT, refusal),
-            Err(why) => unwritten(why),
+            Err(why) => write_error(why),
         }
     }
 }
 
-enum Asked {
+enum ManagementCall {
     Command(Command),
-    Renewed(Reply),
+    MemberRenewed(Reply),
 }
 
 fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, String> {
@@ -288,7 +293,7 @@
     serde_path_to_error::deserialize(&mut reader).map_err(|e| e.to_string())
 }
 
-fn unwritten(why: WriteError) -> Reply {
+fn write_error(why: WriteError) -> Reply {
     let status = match &why {
         WriteError::NotLeader(Some(leader)) => {
             let leader = leader.to_string();
--- a/src/discovery/member.rs
+++ b/src/discovery/member.rs
@@ -59,8 +59,8 @@
     fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
         let (json, in_service) = (to.is_human_readable(), !self.service.is_empty());
         // Without a service it is as PROTOCOL shows it. A form that is not human-readable has all of it always.
-        let named = !json || in_service;
-        let mut entry = to.serialize_struct("Member", 8 + usize::from(named))?;
+        let with_service = !json || in_service;
+        let mut entry = to.serialize_struct("Member", 8 + usize::from(with_service))?;
         entry.serialize_field("id", &self.id)?;
         entry.serialize_field("host_port", &self.host_port)?;
         entry.serialize_field("locality", &self.locality)?;
@@ -73,7 +73,7 @@
             true => entry.serialize_field("up_since_ms", &(self.up_since_ms as u64))?,
             false => entry.serialize_field("up_since_ms", &self.up_since_ms)?,
         }
-        if named {
+        if with_service {
             entry.serialize_field("service", &self.service)?;
         }
         entry.end()
@@ -91,7 +91,7 @@
     /// What keeps this entry out of the list, by its key: an empty or overlong id, an address that is none,
     /// a phase or size that can't be, a service that can't be named.
     pub fn fault(&self) -> Option<(&'static str, &'static str)> {
-        if self.id.is_empty() || self.id.len() > LONGEST_ID {
+        if self.id.is_empty() || self.id.len() > MAX_ID_BYTES {
             return Some(("id", "1 to 256 bytes"));
         }
         if self.phase == Phase::Deleted || self.phase == Phase::Unknown {
@@ -109,14 +109,14 @@
 }
 
 /// The longest id, in bytes.
-pub const LONGEST_ID: usize = 256;
+pub const MAX_ID_BYTES: usize = 256;
 /// The longest name of a service, in bytes.
-pub const LONGEST_SERVICE: usize = 256;
+pub const MAX_SERVICE_BYTES: usize = 256;
 
 /// Why a service can't have this name, if it can't.
 pub fn service_fault(name: &str) -> Option<&'static str> {
     let sound =
-        name.len() <= LONGEST_SERVICE && !name.contains(|c: char| c == ',' || c.is_control());
+        name.len() <= MAX_SERVICE_BYTES && !name.contains(|c: char| c == ',' || c.is_control());
     (!sound).then_some("at most 256 bytes, no comma, no control character")
 }
 
@@ -158,8 +158,8 @@
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
     /// Two entries of one id: nothing tells which holds.
-    #[error("two entries of id {0:?}")]
-    Twice(String),
+    #[error("duplicate entry for id {0:?}")]
+    DuplicateId(String),
 }
 
 impl Message {
@@ -171,7 +171,7 @@
         let read: Self = serde_json::from_slice(object)?;
         let mut ids = FxHashSet::default();
         match read.members.iter().find(|m| !ids.insert(m.id.as_str())) {
-            Some(twice) => Err(MessageError::Twice(twice.id.clone())),
+            Some(duplicate) => Err(MessageError::DuplicateId(duplicate.id.clone())),
             None => Ok(read),
         }
     }
@@ -184,13 +184,13 @@
     }
 
     /// Brings a whole list up to date with this message: a complete one takes its place, another changes it.
-    pub fn update(&mut self, news: &Message) {
-        if news.complete {
-            *self = news.clone();
+    pub fn update(&mut self, update: &Message) {
+        if update.complete {
+            *self = update.clone();
             return;
         }
-        self.revision = news.revision;
-        for entry in &news.members {
+        self.revision = update.revision;
+        for entry in &update.members {
             let at = self.members.iter().position(|m| m.id == entry.id);
             match (at, entry.phase) {
                 (Some(at), Phase::Deleted) => drop(self.members.swap_remove(at)),
--- a/src/discovery/member/tests.rs
+++ b/src/discovery/member/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_member_is_read_as_protocol_writes_it_and_one_that_is_none_costs_no_other() {
+fn unreadable_entries_do_not_affect_the_others() {
     let line = r#"{"revision":43,"complete":true,"members":[
         {"id":"a","host_port":"10.1.0.18:8081","cell":3,"phase":"SERVING","size":1.0,"up_since_ms":5,"new":1},
         {"id":7},{"id":"b","phase":"RESTING"}]}"#;
@@ -10,15 +10,15 @@
     assert_eq!(list.members[1].phase, Phase::Unknown);
     let again = String::from_utf8(list.line()).expect("JSON");
     assert!(again.contains("\"up_since_ms\":5}"), "{again}");
-    let kept = postcard::to_stdvec(&list).expect("kept");
-    assert_eq!(postcard::from_bytes::<Message>(&kept), Ok(list.clone()));
+    let stored = postcard::to_stdvec(&list).expect("stored");
+    assert_eq!(postcard::from_bytes::<Message>(&stored), Ok(list.clone()));
     let gone = Member { phase: Phase::Deleted, ..list.members[0].clone() };
     list.update(&Message { revision: 44, complete: false, members: vec![gone] });
     assert_eq!((list.revision, list.complete, list.members.len()), (44, true, 1));
 }
 
 #[test]
-fn a_service_is_told_where_there_is_one_and_refused_by_its_key_where_it_cannot_be() {
+fn service_is_written_only_when_set_and_validated() {
     let of = |service: &str| -> Member {
         let entry = serde_json::json!(
             {"id": "a", "host_port": "127.0.0.1:9", "phase": "SERVING", "service": service});
@@ -29,7 +29,7 @@
     assert_eq!(text(&of("")), plain, "as PROTOCOL shows it");
     assert!(text(&of("shop")).ends_with(r#""up_since_ms":0,"service":"shop"}"#));
     assert_eq!(serde_json::from_str::<Member>(&text(&of("shop"))).ok(), Some(of("shop")));
-    let longest = "x".repeat(LONGEST_SERVICE);
+    let longest = "x".repeat(MAX_SERVICE_BYTES);
     for sound in ["", "shop", "a b/c&d=é%", &longest] {
         assert_eq!(of(sound).fault(), None, "{sound:?}");
     }
--- a/src/discovery/objects/tests.rs
+++ b/src/discovery/objects/tests.rs
@@ -15,7 +15,7 @@
 
 proptest! {
     #[test]
-    fn objects_are_found_however_they_are_laid_out_and_cut(
+    fn objects_are_found_in_any_layout_and_split(
         ids in proptest::collection::vec(0..IDS.len(), 1..6),
         indented in any::<bool>(),
         cuts in proptest::collection::vec(any::<proptest::sample::Index>(), 0..12),
@@ -40,14 +40,14 @@
 }
 
 #[test]
-fn what_is_no_object_or_has_no_end_is_told_apart() {
+fn unexpected_byte_and_overlong_object_are_errors() {
     let mut reader = Objects::new(8);
     reader.add(b"\n [1]");
-    assert_eq!(reader.take(), Err(ObjectError::Stray(b'[')));
+    assert_eq!(reader.take(), Err(ObjectError::UnexpectedByte(b'[')));
     let mut reader = Objects::new(8);
     reader.add(b"{\"a\":1}\n{\"a\":1}{\"b\":");
     assert_eq!(all(&mut reader).len(), 2, "each is within the bound");
     assert_eq!(reader.take(), Ok(None));
     reader.add(b"1234");
-    assert_eq!(reader.take(), Err(ObjectError::Endless(8)));
+    assert_eq!(reader.take(), Err(ObjectError::TooLong(8)));
 }
--- a/src/discovery/registration.rs
+++ b/src/discovery/registration.rs
@@ -11,9 +11,9 @@
 
 /// Keeps `member` in the list for as long as it is polled: registered anew wherever it is not known any more.
 pub async fn keep(instances: &Instances, member: &Member, ttl: Duration) {
-    let mut known = false;
+    let mut registered = false;
     loop {
-        let (path, body) = match known {
+        let (path, body) = match registered {
             true => ("/admin/members/renew", json!({"id": member.id})),
             false => {
                 let ttl_ms = ttl.as_millis() as u64;
@@ -22,13 +22,13 @@
         };
         match instances.post(path, &body, ttl / 3).await {
             Ok((StatusCode::OK, _)) => {
-                if !known {
+                if !registered {
                     tracing::info!(id = member.id, "registered");
                 }
-                known = true;
+                registered = true;
                 sleep(ttl / 3).await;
             }
-            Ok((StatusCode::NOT_FOUND, _)) if known => known = false,
+            Ok((StatusCode::NOT_FOUND, _)) if registered => registered = false,
             Ok((status, value)) => {
                 tracing::warn!(id = member.id, %status, answer = %value, "not in the list");
                 sleep(ttl / 3).await;
--- a/src/discovery/server.rs
+++ b/src/discovery/server.rs
@@ -32,15 +32,15 @@
 
 use super::filter::Filter;
 use super::member::Message;
-use super::store::{Since, Store};
+use super::store::{ChangesSince, Store};
 use crate::calls::{self, LIMIT};
 use crate::replica::host::Host;
 use crate::socket::Socket;
 
 /// Lines a slow watcher may have waiting; what changes meanwhile is told in one line once it reads on.
-const QUEUED_LINES: usize = 4;
+const MAX_QUEUED_LINES: usize = 4;
 
-type Answer = Response<Either<Full<Bytes>, Lines>>;
+type ListResponse = Response<Either<Full<Bytes>, Lines>>;
 
 /// The lines of one watch, as they are made.
 pub struct Lines(mpsc::Receiver<Bytes>);
@@ -62,17 +62,17 @@
     host: Rc<Host>,
     heartbeat: Duration,
     /// What watches of one filter share, as long as one of them is open.
-    filters: RefCell<FxHashMap<Filter, Rc<Shared>>>,
+    filters: RefCell<FxHashMap<Filter, Rc<FilterState>>>,
     watches: Cell<u64>,
-    made: Cell<u64>,
+    lines_built: Cell<u64>,
 }
 
 /// What watches of one filter share.
 #[derive(Debug)]
-struct Shared {
+struct FilterState {
     filter: Filter,
     /// The list's revision when it was last looked at, and the last up to it in which something of the filter changed.
-    level: Cell<(u64, u64)>,
+    last_change_at: Cell<(u64, u64)>,
     /// The last line made: watches that are level get the same bytes.
     line: RefCell<Option<Line>>,
 }
@@ -89,37 +89,39 @@
     bytes: Bytes,
 }
 
-impl Shared {
+impl FilterState {
     fn new(filter: Filter) -> Rc<Self> {
-        Rc::new(Self { filter, level: Cell::default(), line: RefCell::default() })
+        Rc::new(Self { filter, last_change_at: Cell::default(), line: RefCell::default() })
     }
 
     /// The last revision in which something of the filter changed.
     fn last_change(&self, list: &Store) -> u64 {
-        if self.level.get().0 != list.revision() {
-            self.level.set((list.revision(), list.last_change(list.revision(), &self.filter)));
+        if self.last_change_at.get().0 != list.revision() {
+            self.last_change_at
+                .set((list.revision(), list.last_change(list.revision(), &self.filter)));
         }
-        self.level.get().1
+        self.last_change_at.get().1
     }
 }
 
 /// One more watch, while it lives.
-struct Watching {
+struct WatchGuard {
     service: Rc<ListService>,
-    shared: Rc<Shared>,
+    shared: Rc<FilterState>,
 }
 
-impl Watching {
+impl WatchGuard {
     fn new(service: Rc<ListService>, filter: Filter) -> Self {
         service.watches.set(service.watches.get() + 1);
         let mut filters = service.filters.borrow_mut();
-        let shared = filters.entry(filter).or_insert_with_key(|f| Shared::new(f.clone())).clone();
+        let shared =
+            filters.entry(filter).or_insert_with_key(|f| FilterState::new(f.clone())).clone();
         drop(filters);
         Self { service, shared }
     }
 }
 
-impl Drop for Watching {
+impl Drop for WatchGuard {
     fn drop(&mut self) {
         self.service.watches.set(self.service.watches.get() - 1);
         // The service's own, and this one.
@@ -132,13 +134,13 @@
 impl ListService {
     /// A service over this state; `heartbeat` is the gap between empty lines on a quiet watch.
     pub fn new(host: Rc<Host>, heartbeat: Duration) -> Rc<Self> {
-        let (filters, watches, made) = Default::default();
-        Rc::new(Self { host, heartbeat, filters, watches, made })
+        let (filters, watches, lines_built) = Default::default();
+        Rc::new(Self { host, heartbeat, filters, watches, lines_built })
     }
 
     /// Lines made for watches so far; those that several share count once.
-    pub fn made(&self) -> u64 {
-        self.made.get()
+    pub fn lines_built(&self) -> u64 {
+        self.lines_built.get()
     }
 
     /// How many watches are open.
@@ -162,7 +164,10 @@
         .await;
     }
 
-    async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Result<Answer, Infallible> {
+    async fn answer(
+        self: Rc<Self>,
+        request: Request<Incoming>,
+    ) -> Result<ListResponse, Infallible> {
         let (head, body) = request.into_parts();
         if Limited::new(body, LIMIT).collect().await.is_err() {
             return Ok(error(StatusCode::PAYLOAD_TOO_LARGE, "a body over 64 KiB"));
@@ -176,8 +181,8 @@
                 let (ready, revision) =
                     (self.host.ready(), self.host.read(|m| m.list().revision()));
                 let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-                let said = serde_json::json!({"ready": ready, "revision": revision});
-                return Ok(calls::say(status, &said).map(Either::Left));
+                let body = serde_json::json!({"ready": ready, "revision": revision});
+                return Ok(calls::say(status, &body).map(Either::Left));
             }
             _ => return Ok(error(StatusCode::NOT_FOUND, "no such path")),
         }
@@ -187,7 +192,7 @@
         match Query::parse(head.uri.query().unwrap_or("")) {
             Err(cause) => Ok(error(StatusCode::BAD_REQUEST, cause)),
             Ok(Query { stream: false, filter, .. }) => {
-                let line = self.host.read(|m| m.list().whole(&filter).line());
+                let line = self.host.read(|m| m.list().full_list(&filter).line());
                 Ok(calls::text(StatusCode::OK, "application/json", line).map(Either::Left))
             }
             Ok(Query { stream: true, index, filter }) => Ok(self.watch(index, filter)),
@@ -196,7 +201,7 @@
 
     /// What a watch that holds revision `held` is told now, and the revision it has then; `None` where nothing of
     /// its filter has changed. One that holds none is told the whole list.
-    fn line(&self, shared: &Shared, held: Option<u64>) -> Option<Line> {
+    fn line(&self, shared: &FilterState, held: Option<u64>) -> Option<Line> {
         self.host.read(|m| {
             let (list, filter) = (m.list(), &shared.filter);
             let now = list.revision();
@@ -209,35 +214,35 @@
             let from = covered.map(|held| list.last_change(held, filter));
             let mut last = shared.line.borrow_mut();
             // Who asks for a whole list may hold one as new as the list is here.
-            let serves = |line: &&Line| {
+            let reusable = |line: &&Line| {
                 (line.from, line.to) == (from, to) && (from.is_some() || line.revision == now)
             };
-            if let Some(line) = last.as_ref().filter(serves) {
+            if let Some(line) = last.as_ref().filter(reusable) {
                 return Some(line.clone());
             }
-            let message = match covered.map(|held| list.since(held, filter)) {
-                None => list.whole(filter),
-                Some(Since::Changes(message) | Since::Whole(message)) => message,
-                Some(Since::Current | Since::Ahead) => return None,
+            let message = match covered.map(|held| list.changes_since(held, filter)) {
+                None => list.full_list(filter),
+                Some(ChangesSince::Changes(message) | ChangesSince::FullList(message)) => message,
+                Some(ChangesSince::Current | ChangesSince::Ahead) => return None,
             };
-            self.made.set(self.made.get() + 1);
+            self.lines_built.set(self.lines_built.get() + 1);
             let (revision, bytes) = (message.revision, Bytes::from(message.line()));
             *last = Some(Line { from, to, revision, bytes });
             last.clone()
         })
     }
 
-    fn watch(self: Rc<Self>, index: u64, filter: Filter) -> Answer {
-        let (lines, body) = mpsc::channel(QUEUED_LINES);
+    fn watch(self: Rc<Self>, index: u64, filter: Filter) -> ListResponse {
+        let (lines, body) = mpsc::channel(MAX_QUEUED_LINES);
         let mut revisions = self.host.revisions();
         // What was told of other services than these now is of no use.
-        let anew = index == 0 && filter != Filter::all();
-        let watching = Watching::new(self, filter);
+        let needs_full_list = index == 0 && filter != Filter::all();
+        let guard = WatchGuard::new(self, filter);
         tokio::task::spawn_local(async move {
-            let Watching { service, shared } = &watching;
+            let WatchGuard { service, shared } = &guard;
             // What it was told, and up to where there is nothing more to tell.
-            let (mut told, mut held) = (index, (!anew).then_some(index));
-            let mut due = Instant::now() + service.heartbeat;
+            let (mut sent, mut held) = (index, (!needs_full_list).then_some(index));
+            let mut next_heartbeat = Instant::now() + service.heartbeat;
             loop {
                 revisions.mark_unchanged();
                 let mut line = service.line(shared, held).map(|line| (line.revision, line.bytes));
@@ -249,16 +254,16 @@
                                 return;
                             }
                         }
-                        () = sleep_until(due) => line = Some(sign_of_life(told, held)),
+                        () = sleep_until(next_heartbeat) => line = Some(heartbeat_line(sent, held)),
                         () = lines.closed() => return,
                     }
                 }
                 if let Some((revision, line)) = line {
-                    (told, held) = (revision, held.max(Some(revision)));
+                    (sent, held) = (revision, held.max(Some(revision)));
                     if lines.send(line).await.is_err() {
                         return;
                     }
-                    due = Instant::now() + service.heartbeat;
+                    next_heartbeat = Instant::now() + service.heartbeat;
                 }
             }
         });
@@ -270,13 +275,13 @@
 
 /// A quiet watch's sign of life, and the revision it has then: an empty line, unless other services' changes have
 /// moved the revision on.
-fn sign_of_life(told: u64, held: Option<u64>) -> (u64, Bytes) {
+fn heartbeat_line(sent: u64, held: Option<u64>) -> (u64, Bytes) {
     match held {
-        Some(held) if held > told => {
+        Some(held) if held > sent => {
             let message = Message { revision: held, ..Message::default() };
             (held, Bytes::from(message.line()))
         }
-        _ => (told, Bytes::from_static(b"\n")),
+        _ => (sent, Bytes::from_static(b"\n")),
     }
 }
 
@@ -305,7 +310,7 @@
     }
 }
 
-fn error(status: StatusCode, cause: &str) -> Answer {
+fn error(status: StatusCode, cause: &str) -> ListResponse {
     calls::error(status, cause).map(Either::Left)
 }
 
--- a/src/discovery/server/tests.rs
+++ b/src/discovery/server/tests.rs
@@ -56,7 +56,7 @@
 }
 
 /// The next line of a watch: revision, whether complete, and ids with their phases; `None` for an empty line.
-async fn told(watch: &mut Lines) -> Option<(u64, bool, Vec<(String, Phase)>)> {
+async fn next_line(watch: &mut Lines) -> Option<(u64, bool, Vec<(String, Phase)>)> {
     let line = watch.0.recv().await.expect("a line");
     let message = (line.as_ref() != b"\n").then(|| Message::read(&line).expect("a list"))?;
     let members = message.members.into_iter().map(|m| (m.id, m.phase)).collect();
@@ -68,89 +68,91 @@
 }
 
 #[test]
-fn a_watch_of_some_services_hears_of_these_alone_and_its_revision_follows() {
+fn filtered_watch_gets_only_its_services_and_the_revision_follows() {
     let first = vec![member("a-1", "a"), member("b-1", "b")];
     paused(first, 64, |service| async move {
         let serving = Phase::Serving;
         let mut a = watch(&service, 0, &["a"]);
-        assert_eq!(told(&mut a).await, Some((42, true, of(&[("a-1", serving)]))));
-        assert_eq!(told(&mut a).await, None, "nothing has changed");
+        assert_eq!(next_line(&mut a).await, Some((42, true, of(&[("a-1", serving)]))));
+        assert_eq!(next_line(&mut a).await, None, "nothing has changed");
         // However often others change, its heartbeats come, and tell how far the list is.
         let start = Instant::now();
         for i in 0..9 {
             tokio::time::sleep(Duration::from_millis(300)).await;
             change(&service, &format!("c-{i}"), "b").await;
         }
-        assert_eq!(told(&mut a).await, Some((48, false, vec![])), "as it was after 2 s");
+        assert_eq!(next_line(&mut a).await, Some((48, false, vec![])), "as it was after 2 s");
         assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
         change(&service, "b-1", "a").await;
-        let moved = told(&mut a).await;
+        let moved = next_line(&mut a).await;
         assert_eq!(moved, Some((52, false, of(&[("b-1", serving)]))), "all of b's before it too");
         change(&service, "b-1", "b").await;
-        assert_eq!(told(&mut a).await, Some((53, false, of(&[("b-1", Phase::Deleted)]))));
-        assert_eq!(told(&mut a).await, None);
+        assert_eq!(next_line(&mut a).await, Some((53, false, of(&[("b-1", Phase::Deleted)]))));
+        assert_eq!(next_line(&mut a).await, None);
         // Gone on from there, there is nothing to tell; from before, what it missed of its own.
-        assert_eq!(told(&mut watch(&service, 53, &["a"])).await, None);
-        let missed = told(&mut watch(&service, 51, &["a"])).await;
+        assert_eq!(next_line(&mut watch(&service, 53, &["a"])).await, None);
+        let missed = next_line(&mut watch(&service, 51, &["a"])).await;
         assert_eq!(missed, Some((53, false, of(&[("b-1", Phase::Deleted)]))));
         // Ahead of the list, until the list has caught up.
         let mut ahead = watch(&service, 54, &["a"]);
         change(&service, "a-2", "a").await;
-        assert_eq!(told(&mut ahead).await, None);
+        assert_eq!(next_line(&mut ahead).await, None);
         change(&service, "a-3", "a").await;
-        assert_eq!(told(&mut ahead).await, Some((55, false, of(&[("a-3", serving)]))));
+        assert_eq!(next_line(&mut ahead).await, Some((55, false, of(&[("a-3", serving)]))));
     });
 }
 
 #[test]
-fn a_watch_of_a_service_that_is_not_there_holds_an_empty_list() {
+fn watch_of_an_unknown_service_gets_an_empty_list() {
     paused(vec![], 64, |service| async move {
         let mut none = watch(&service, 0, &["a"]);
-        assert_eq!(told(&mut none).await, Some((40, true, vec![])));
+        assert_eq!(next_line(&mut none).await, Some((40, true, vec![])));
         change(&service, "a-1", "a").await;
-        assert_eq!(told(&mut none).await, Some((41, false, of(&[("a-1", Phase::Serving)]))));
+        assert_eq!(next_line(&mut none).await, Some((41, false, of(&[("a-1", Phase::Serving)]))));
     });
 }
 
 #[test]
-fn others_changes_compacted_away_cost_an_open_watch_nothing() {
+fn compacting_changes_of_others_costs_an_open_watch_nothing() {
     paused(vec![member("a-1", "a")], 4, |service| async move {
         let mut a = watch(&service, 0, &["a"]);
-        assert!(told(&mut a).await.is_some());
+        assert!(next_line(&mut a).await.is_some());
         for i in 0..20 {
             change(&service, &format!("b-{i}"), "b").await;
         }
-        let made = service.made();
+        let lines_built = service.lines_built();
         change(&service, "a-2", "a").await;
-        assert_eq!(told(&mut a).await, Some((62, false, of(&[("a-2", Phase::Serving)]))));
-        assert_eq!(service.made(), made + 1, "and nothing was made for it before");
-        let late = told(&mut watch(&service, 45, &["a"])).await;
+        assert_eq!(next_line(&mut a).await, Some((62, false, of(&[("a-2", Phase::Serving)]))));
+        assert_eq!(service.lines_built(), lines_built + 1, "and nothing was made for it before");
+        let late = next_line(&mut watch(&service, 45, &["a"])).await;
         let all = of(&[("a-1", Phase::Serving), ("a-2", Phase::Serving)]);
         assert_eq!(late, Some((62, true, all)), "it may have missed some of its own");
     });
 }
 
 #[test]
-fn watches_of_one_filter_share_a_line_and_leave_nothing_behind() {
+fn watches_of_one_filter_share_lines_and_state_is_freed() {
     let first = (0..10).map(|s| member(&format!("{s}-1"), &format!("s-{s}"))).collect();
     paused(first, 1024, |service| async move {
         let names = |i: usize| if i.is_multiple_of(2) { ["s-0", "s-1"] } else { ["s-1", "s-2"] };
         let mut watches: Vec<Lines> = (0..100).map(|i| watch(&service, 0, &names(i))).collect();
         for watch in &mut watches {
-            assert!(told(watch).await.is_some_and(|(_, whole, all)| whole && all.len() == 2));
+            assert!(
+                next_line(watch).await.is_some_and(|(_, complete, all)| complete && all.len() == 2)
+            );
         }
-        assert_eq!(service.made(), 2, "two filters, whatever the watches");
+        assert_eq!(service.lines_built(), 2, "two filters, whatever the watches");
         assert_eq!((service.filters.borrow().len(), service.watches()), (2, 100));
         change(&service, "9-2", "s-9").await;
         change(&service, "1-2", "s-1").await;
         // Others that hold different revisions: what lies between these is none of theirs.
         let held = |i: usize| 50 + (i as u64 / 2) % 2;
         watches.extend((0..100).map(|i| watch(&service, held(i), &names(i))));
-        let news = (52, false, of(&[("1-2", Phase::Serving)]));
+        let update = (52, false, of(&[("1-2", Phase::Serving)]));
         for watch in &mut watches {
-            assert_eq!(told(watch).await.as_ref(), Some(&news));
+            assert_eq!(next_line(watch).await.as_ref(), Some(&update));
         }
-        assert_eq!(service.made(), 4, "one line more for each filter");
+        assert_eq!(service.lines_built(), 4, "one line more for each filter");
         drop(watches);
         while service.watches() > 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -160,7 +162,7 @@
 }
 
 #[test]
-fn a_query_is_read_or_refused() {
+fn query_is_parsed_or_rejected() {
     let all = Filter::all;
     assert_eq!(
         Query::parse("stream=1&index=41"),
--- a/src/discovery/store.rs
+++ b/src/discovery/store.rs
@@ -13,8 +13,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::filter::Filter;
-use super::kept::MemberV1;
 use super::member::{Member, Message, Phase};
+use super::stored_format::MemberV1;
 
 /// The list and its history.
 #[derive(Clone, Debug)]
@@ -25,13 +25,13 @@
     history: VecDeque<Change>,
     keep: usize,
     /// What of it concerns each service.
-    services: BTreeMap<String, Part>,
-    looked: Cell<u64>,
+    services: BTreeMap<String, ServiceIndex>,
+    entries_read: Cell<u64>,
 }
 
 /// One service's part of the list.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Part {
+struct ServiceIndex {
     /// Its members' ids.
     members: BTreeSet<String>,
     /// The revisions in the history whose entry was its own, or left it.
@@ -41,8 +41,8 @@
 /// What is filed, and what was looked at, follow from the rest.
 impl PartialEq for Store {
     fn eq(&self, other: &Self) -> bool {
-        let of = |s: &Self| (s.revision, s.keep);
-        of(self) == of(other) && self.members == other.members && self.history == other.history
+        let key = |s: &Self| (s.revision, s.keep);
+        key(self) == key(other) && self.members == other.members && self.history == other.history
     }
 }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// A list without services as it is kept in a snapshot of the state ([`super::kept`]).
+/// A list without services as it is kept in a snapshot of the state ([`super::stored_format`]).
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StoreV1 {
     revision: u64,
@@ -84,13 +84,13 @@
 
 /// What a watch from some revision is told first.
 #[derive(Debug, PartialEq)]
-pub enum Since {
+pub enum ChangesSince {
     /// Nothing has changed after it yet.
     Current,
     /// The changes after it, each id once with its last entry.
     Changes(Message),
     /// It is older than the history kept: the whole list.
-    Whole(Message),
+    FullList(Message),
     /// This list is behind it: there is nothing to tell that would not go back. It waits until the list has
     /// caught up.
     Ahead,
@@ -105,7 +105,7 @@
             history: VecDeque::new(),
             keep: keep.max(1),
             services: BTreeMap::new(),
-            looked: Cell::default(),
+            entries_read: Cell::default(),
         }
     }
 
@@ -132,34 +132,34 @@
     /// Puts an entry in, or takes it out where its phase is `Deleted`. Returns the new revision, or `None`
     /// where nothing changed (the same entry again, or the deletion of one that is not there).
     pub fn apply(&mut self, member: Member) -> Option<u64> {
-        let now = self.members.get(&member.id);
+        let current = self.members.get(&member.id);
         let unchanged = match member.phase {
-            Phase::Deleted => now.is_none(),
-            _ => now == Some(&member),
+            Phase::Deleted => current.is_none(),
+            _ => current == Some(&member),
         };
         if unchanged {
             return None;
         }
-        let before = match member.phase {
+        let previous = match member.phase {
             Phase::Deleted => self.members.remove(&member.id),
             _ => self.members.insert(member.id.clone(), member.clone()),
         };
-        if let Some(part) = before.as_ref().and_then(|b| self.services.get_mut(&b.service)) {
-            part.members.remove(&member.id);
+        if let Some(index) = previous.as_ref().and_then(|p| self.services.get_mut(&p.service)) {
+            index.members.remove(&member.id);
         }
         if member.phase != Phase::Deleted {
-            self.part(&member.service).members.insert(member.id.clone());
+            self.service_index(&member.service).members.insert(member.id.clone());
         }
         self.revision += 1;
-        let left = before.map(|b| b.service).filter(|service| *service != member.service);
-        self.record(Change { revision: self.revision, member, left });
+        let left = previous.map(|p| p.service).filter(|service| *service != member.service);
+        self.push_change(Change { revision: self.revision, member, left });
         while self.history.len() > self.keep {
-            self.forget();
+            self.drop_oldest_change();
         }
         Some(self.revision)
     }
 
-    fn part(&mut self, service: &str) -> &mut Part {
+    fn service_index(&mut self, service: &str) -> &mut ServiceIndex {
         self.services.entry(service.to_owned()).or_default()
     }
 
@@ -169,49 +169,49 @@
     }
 
     /// Puts a change at the end of the history.
-    fn record(&mut self, change: Change) {
+    fn push_change(&mut self, change: Change) {
         for service in change.services() {
-            self.part(service).changes.push_back(change.revision);
+            self.service_index(service).changes.push_back(change.revision);
         }
         self.history.push_back(change);
     }
 
     /// Takes the oldest change out of the history.
-    fn forget(&mut self) {
+    fn drop_oldest_change(&mut self) {
         let Some(change) = self.history.pop_front() else { return };
         for service in change.services() {
-            let Some(part) = self.services.get_mut(service) else { continue };
-            part.changes.pop_front();
-            if part.members.is_empty() && part.changes.is_empty() {
+            let Some(index) = self.services.get_mut(service) else { continue };
+            index.changes.pop_front();
+            if index.members.is_empty() && index.changes.is_empty() {
                 self.services.remove(service);
             }
         }
     }
 
     /// Entries looked at so far to tell lists and changes.
-    pub fn looked(&self) -> u64 {
-        self.looked.get()
+    pub fn entries_read(&self) -> u64 {
+        self.entries_read.get()
     }
 
-    fn look(&self, entries: usize) {
-        self.looked.set(self.looked.get() + entries as u64);
+    fn count_read(&self, entries: usize) {
+        self.entries_read.set(self.entries_read.get() + entries as u64);
     }
 
     /// The parts of the services that a filter names.
-    fn parts(&self, names: &BTreeSet<String>) -> impl Iterator<Item = &Part> {
+    fn service_indexes(&self, names: &BTreeSet<String>) -> impl Iterator<Item = &ServiceIndex> {
         names.iter().filter_map(|name| self.services.get(name))
     }
 
     /// The whole list as the filter takes it, `complete`.
-    pub fn whole(&self, filter: &Filter) -> Message {
+    pub fn full_list(&self, filter: &Filter) -> Message {
         let members: Vec<Member> = match filter.names() {
             None => self.members.values().cloned().collect(),
             Some(names) => {
-                let ids = self.parts(names).flat_map(|part| &part.members);
+                let ids = self.service_indexes(names).flat_map(|index| &index.members);
                 ids.filter_map(|id| self.members.get(id)).cloned().collect()
             }
         };
-        self.look(members.len());
+        self.count_read(members.len());
         Message { revision: self.revision, complete: true, members }
     }
 
@@ -220,11 +220,11 @@
     pub fn last_change(&self, index: u64, filter: &Filter) -> u64 {
         let index = index.min(self.revision);
         let Some(names) = filter.names() else { return index };
-        let last = |part: &Part| {
-            let after = part.changes.partition_point(|revision| *revision <= index);
-            part.changes.get(after.checked_sub(1)?).copied()
+        let last = |service: &ServiceIndex| {
+            let after = service.changes.partition_point(|revision| *revision <= index);
+            service.changes.get(after.checked_sub(1)?).copied()
         };
-        self.parts(names).filter_map(last).max().unwrap_or(self.oldest().min(index))
+        self.service_indexes(names).filter_map(last).max().unwrap_or(self.oldest().min(index))
     }
 
     /// The entry of this id.
@@ -233,42 +233,42 @@
     }
 
     /// What a watch that holds `index` is told first. Of other services' changes a filter takes the revision alone.
-    pub fn since(&self, index: u64, filter: &Filter) -> Since {
+    pub fn changes_since(&self, index: u64, filter: &Filter) -> ChangesSince {
         if index == self.revision {
-            return Since::Current;
+            return ChangesSince::Current;
         }
         if index > self.revision {
-            return Since::Ahead;
+            return ChangesSince::Ahead;
         }
         if index < self.oldest() {
-            return Since::Whole(self.whole(filter));
+            return ChangesSince::FullList(self.full_list(filter));
         }
         // One entry a revision: what comes after `index` is the end of the history.
         let at = |revision: u64| (revision - self.oldest()) as usize;
         let mut changes: Vec<&Change> = match filter.names() {
             None => self.history.range(at(index)..).collect(),
             Some(names) => {
-                let after = |part: &Part| {
-                    let after = part.changes.partition_point(|revision| *revision <= index);
-                    part.changes.range(after..).copied().collect::<Vec<_>>()
+                let after = |service: &ServiceIndex| {
+                    let after = service.changes.partition_point(|revision| *revision <= index);
+                    service.changes.range(after..).copied().collect::<Vec<_>>()
                 };
-                let revisions = self.parts(names).flat_map(after);
+                let revisions = self.service_indexes(names).flat_map(after);
                 revisions.map(|revision| &self.history[at(revision) - 1]).collect()
             }
         };
-        self.look(changes.len());
+        self.count_read(changes.len());
         changes.sort_unstable_by_key(|change| change.revision);
         let changed: BTreeMap<&str, &Change> =
             changes.into_iter().map(|change| (change.member.id.as_str(), change)).collect();
-        let told = |change: &Change| match &change.left {
+        let as_seen = |change: &Change| match &change.left {
             // To those who are not told of the service that it went to, it has gone.
-            Some(left) if !filter.takes(&change.member.service) => {
+            Some(left) if !filter.matches(&change.member.service) => {
                 Member { phase: Phase::Deleted, service: left.clone(), ..change.member.clone() }
             }
             _ => change.member.clone(),
         };
-        let members = changed.into_values().map(told).collect();
-        Since::Changes(Message { revision: self.revision, complete: false, members })
+        let members = changed.into_values().map(as_seen).collect();
+        ChangesSince::Changes(Message { revision: self.revision, complete: false, members })
     }
 
     /// The list to be kept, where no entry of it or of its history was ever in a service.
@@ -293,30 +293,30 @@
 }
 
 impl From<StoreV1> for Store {
-    fn from(kept: StoreV1) -> Self {
+    fn from(stored: StoreV1) -> Self {
         let change = |(revision, member): (u64, MemberV1)| Change {
             revision,
             member: member.into(),
             left: None,
         };
         StoreV2 {
-            revision: kept.revision,
-            members: kept.members.into_values().map(Member::from).collect(),
-            history: kept.history.into_iter().map(change).collect(),
-            keep: kept.keep,
+            revision: stored.revision,
+            members: stored.members.into_values().map(Member::from).collect(),
+            history: stored.history.into_iter().map(change).collect(),
+            keep: stored.keep,
         }
         .into()
     }
 }
 
 impl From<StoreV2> for Store {
-    fn from(kept: StoreV2) -> Self {
-        let mut store = Self::new(kept.revision, kept.keep);
-        for member in kept.members {
-            store.part(&member.service).members.insert(member.id.clone());
+    fn from(stored: StoreV2) -> Self {
+        let mut store = Self::new(stored.revision, stored.keep);
+        for member in stored.members {
+            store.service_index(&member.service).members.insert(member.id.clone());
             store.members.insert(member.id.clone(), member);
         }
-        kept.history.into_iter().for_each(|change| store.record(change));
+        stored.history.into_iter().for_each(|change| store.push_change(change));
         store
     }
 }
--- a/src/discovery/store/tests.rs
+++ b/src/discovery/store/tests.rs
@@ -17,46 +17,52 @@
 }
 
 #[test]
-fn a_change_bumps_the_revision_once_and_the_same_entry_not_at_all() {
+fn only_real_changes_bump_the_revision() {
     let mut store = Store::new(40, 8);
     assert_eq!(store.apply(member("a", Phase::Serving)), Some(41));
     assert_eq!(store.apply(member("a", Phase::Serving)), None);
     assert_eq!(store.apply(member("b", Phase::Deleted)), None);
     assert_eq!(store.apply(member("a", Phase::Draining)), Some(42));
-    assert_eq!(store.since(42, &Filter::all()), Since::Current);
-    let Since::Changes(told) = store.since(40, &Filter::all()) else { panic!("changes") };
+    assert_eq!(store.changes_since(42, &Filter::all()), ChangesSince::Current);
+    let ChangesSince::Changes(told) = store.changes_since(40, &Filter::all()) else {
+        panic!("changes")
+    };
     assert_eq!((told.revision, told.members.len()), (42, 1), "each id once, its last entry");
     assert_eq!(told.members[0].phase, Phase::Draining);
 }
 
 #[test]
-fn a_compacted_index_gets_the_whole_list_and_one_ahead_nothing() {
+fn compacted_index_gets_the_full_list_and_one_ahead_waits() {
     let mut store = Store::new(0, 2);
     for id in ["a", "b", "c"] {
         store.apply(member(id, Phase::Serving));
     }
     assert_eq!(store.oldest(), 1);
-    assert!(matches!(store.since(1, &Filter::all()), Since::Changes(m) if m.members.len() == 2));
     assert!(
-        matches!(store.since(0, &Filter::all()), Since::Whole(m) if m.complete && m.members.len() == 3)
+        matches!(store.changes_since(1, &Filter::all()), ChangesSince::Changes(m) if m.members.len() == 2)
+    );
+    assert!(
+        matches!(store.changes_since(0, &Filter::all()), ChangesSince::FullList(m) if m.complete && m.members.len() == 3)
     );
     assert_eq!(
-        store.since(9, &Filter::all()),
-        Since::Ahead,
+        store.changes_since(9, &Filter::all()),
+        ChangesSince::Ahead,
         "never told an older list than it holds"
     );
     store.apply(member("a", Phase::Deleted));
-    let Since::Changes(told) = store.since(3, &Filter::all()) else { panic!("changes") };
+    let ChangesSince::Changes(told) = store.changes_since(3, &Filter::all()) else {
+        panic!("changes")
+    };
     assert_eq!(told.members[0].phase, Phase::Deleted, "a deletion is told as such");
-    assert_eq!(store.whole(&Filter::all()).members.len(), 2);
+    assert_eq!(store.full_list(&Filter::all()).members.len(), 2);
 }
 
 /// The members that a filter takes, by id.
-fn taken<'a>(
+fn matching<'a>(
     members: impl IntoIterator<Item = &'a Member>,
     filter: &Filter,
 ) -> BTreeMap<String, Member> {
-    let members = members.into_iter().filter(|m| filter.takes(&m.service));
+    let members = members.into_iter().filter(|m| filter.matches(&m.service));
     members.map(|m| (m.id.clone(), m.clone())).collect()
 }
 
@@ -91,17 +97,17 @@
 }
 
 /// What a follower of `filter` holds after it has read on from `index`.
-fn read_on(store: &Store, held: &mut Message, filter: &Filter) -> Result<(), TestCaseError> {
-    let message = match store.since(held.revision, filter) {
-        Since::Current => return Ok(()),
-        Since::Ahead => return Err(TestCaseError::fail("the list went back")),
-        Since::Changes(message) | Since::Whole(message) => message,
+fn catch_up(store: &Store, held: &mut Message, filter: &Filter) -> Result<(), TestCaseError> {
+    let message = match store.changes_since(held.revision, filter) {
+        ChangesSince::Current => return Ok(()),
+        ChangesSince::Ahead => return Err(TestCaseError::fail("the list went back")),
+        ChangesSince::Changes(message) | ChangesSince::FullList(message) => message,
     };
     prop_assert!(message.revision > held.revision, "a revision went back");
     let mut ids = BTreeSet::new();
     for m in &message.members {
         prop_assert!(ids.insert(&m.id), "{} is told twice", m.id);
-        prop_assert!(filter.takes(&m.service), "{} of another service is told", m.id);
+        prop_assert!(filter.matches(&m.service), "{} of another service is told", m.id);
     }
     held.update(&message);
     Ok(())
@@ -111,33 +117,33 @@
     #![proptest_config(ProptestConfig::with_cases(1500))]
 
     #[test]
-    fn who_follows_some_services_holds_the_filter_of_the_whole_list(
+    fn filtered_watch_matches_filtered_list(
         ops in proptest::collection::vec(op(), 1..60), keep in 1..14usize, start in 0..3u64,
     ) {
         let mut store = Store::new(start, keep);
         let mut followers: Vec<(Filter, Message)> =
-            filters().into_iter().map(|f| (f.clone(), store.whole(&f))).collect();
+            filters().into_iter().map(|f| (f.clone(), store.full_list(&f))).collect();
         // The whole list at each revision.
-        let mut lists = BTreeMap::from([(start, store.whole(&Filter::all()))]);
+        let mut lists = BTreeMap::from([(start, store.full_list(&Filter::all()))]);
         for op in ops {
             match op {
                 Op::Apply { id, service, phase } => {
                     let service = SERVICES[service].to_owned();
                     let entry = Member { service, ..member(&id.to_string(), phase) };
                     store.apply(entry);
-                    lists.insert(store.revision(), store.whole(&Filter::all()));
+                    lists.insert(store.revision(), store.full_list(&Filter::all()));
                 }
                 Op::Read(i) => {
                     let i = i % followers.len();
                     let (filter, held) = &mut followers[i];
-                    read_on(&store, held, filter)?;
+                    catch_up(&store, held, filter)?;
                     let all = &lists[&store.revision()].members;
-                    prop_assert_eq!(taken(&held.members, &Filter::all()), taken(all, filter));
+                    prop_assert_eq!(matching(&held.members, &Filter::all()), matching(all, filter));
                 }
                 Op::Restart => {
-                    let kept = Store::from(store.v2());
-                    prop_assert_eq!(&kept, &store);
-                    store = kept;
+                    let restored = Store::from(store.v2());
+                    prop_assert_eq!(&restored, &store);
+                    store = restored;
                 }
             }
         }
@@ -146,22 +152,22 @@
         let now = &lists[&store.revision()];
         for filter in filters() {
             let last = store.last_change(store.revision(), &filter);
-            prop_assert_eq!(taken(&store.whole(&filter).members, &Filter::all()), taken(&now.members, &filter));
+            prop_assert_eq!(matching(&store.full_list(&filter).members, &Filter::all()), matching(&now.members, &filter));
             // From whichever revision one goes on.
             for (index, list) in &lists {
                 let mut held = list.clone();
-                held.members.retain(|m| filter.takes(&m.service));
-                read_on(&store, &mut held, &filter)?;
-                prop_assert_eq!(taken(&held.members, &Filter::all()), taken(&now.members, &filter));
+                held.members.retain(|m| filter.matches(&m.service));
+                catch_up(&store, &mut held, &filter)?;
+                prop_assert_eq!(matching(&held.members, &Filter::all()), matching(&now.members, &filter));
                 prop_assert_eq!(held.revision, store.revision());
                 // One from before the history may have missed something.
                 prop_assert!(*index >= store.oldest() || *index < last);
                 if *index >= store.oldest() {
-                    let quiet = match store.since(*index, &filter) {
-                        Since::Changes(message) => message.members.is_empty(),
+                    let no_change = match store.changes_since(*index, &filter) {
+                        ChangesSince::Changes(message) => message.members.is_empty(),
                         _ => true,
                     };
-                    prop_assert_eq!(quiet, *index >= last, "from {}, changed at {}", index, last);
+                    prop_assert_eq!(no_change, *index >= last, "from {}, changed at {}", index, last);
                 }
             }
         }
@@ -169,17 +175,18 @@
 }
 
 #[test]
-fn who_leaves_a_service_is_gone_for_its_watchers_and_new_for_those_of_the_other() {
+fn member_that_changes_service_is_deleted_for_watches_of_the_old_one() {
     let of = |service: &str| Member { service: service.into(), ..member("x", Phase::Serving) };
     let mut store = Store::new(0, 8);
     store.apply(of("a"));
     store.apply(of("b"));
-    let told = |names: &[&str]| match store.since(1, &Filter::services(names.iter().copied())) {
-        Since::Changes(message) => {
-            message.members.into_iter().map(|m| (m.phase, m.service)).collect::<Vec<_>>()
-        }
-        other => panic!("{other:?}"),
-    };
+    let told =
+        |names: &[&str]| match store.changes_since(1, &Filter::services(names.iter().copied())) {
+            ChangesSince::Changes(message) => {
+                message.members.into_iter().map(|m| (m.phase, m.service)).collect::<Vec<_>>()
+            }
+            other => panic!("{other:?}"),
+        };
     assert_eq!(told(&["a"]), [(Phase::Deleted, "a".to_owned())]);
     assert_eq!(told(&["b"]), [(Phase::Serving, "b".to_owned())]);
     assert_eq!(told(&["a", "b"]), [(Phase::Serving, "b".to_owned())]);
@@ -187,7 +194,7 @@
 }
 
 /// Entries looked at to tell one service's whole list, and three changes of it among those of all others.
-fn looked_for_one_of(services: usize) -> (u64, u64) {
+fn entries_read_for_one_service(services: usize) -> (u64, u64) {
     let mut store = Store::new(0, 100_000);
     let entry = |service: usize, i: usize, phase| Member {
         service: format!("s-{service}"),
@@ -204,16 +211,16 @@
             store.apply(entry(service, i, Phase::Draining));
         }
     }
-    let before = store.looked();
-    assert_eq!(store.whole(&one).members.len(), 29);
-    let whole = store.looked() - before;
-    let Since::Changes(told) = store.since(index, &one) else { panic!("changes") };
+    let before = store.entries_read();
+    assert_eq!(store.full_list(&one).members.len(), 29);
+    let full = store.entries_read() - before;
+    let ChangesSince::Changes(told) = store.changes_since(index, &one) else { panic!("changes") };
     assert_eq!(told.members.len(), 3);
-    (whole, store.looked() - before - whole)
+    (full, store.entries_read() - before - full)
 }
 
 #[test]
-fn one_service_costs_the_same_beside_ten_and_beside_two_hundred_and_ten() {
-    assert_eq!(looked_for_one_of(10), (29, 3));
-    assert_eq!(looked_for_one_of(210), (29, 3));
+fn cost_of_one_service_does_not_depend_on_the_others() {
+    assert_eq!(entries_read_for_one_service(10), (29, 3));
+    assert_eq!(entries_read_for_one_service(210), (29, 3));
 }
--- a/src/discovery/kept.rs
+++ b/src/discovery/stored_format.rs
@@ -46,8 +46,8 @@
 }
 
 impl From<MemberV1> for Member {
-    fn from(kept: MemberV1) -> Self {
-        let MemberV1 { id, host_port, locality, flavor, cell, phase, size, up_since_ms } = kept;
+    fn from(stored: MemberV1) -> Self {
+        let MemberV1 { id, host_port, locality, flavor, cell, phase, size, up_since_ms } = stored;
         let service = String::new();
         Self { id, host_port, locality, flavor, cell, phase, size, up_since_ms, service }
     }
@@ -82,15 +82,15 @@
 }
 
 impl From<List> for Message {
-    fn from(kept: List) -> Self {
+    fn from(stored: List) -> Self {
         let all = |members: Vec<MemberV1>| members.into_iter().map(Member::from).collect();
-        let (complete, members) = match kept.members {
+        let (complete, members) = match stored.members {
             Members::ChangesV1(members) => (false, all(members)),
             Members::WholeV1(members) => (true, all(members)),
             Members::Changes(members) => (false, members),
             Members::Whole(members) => (true, members),
         };
-        Self { revision: kept.revision, complete, members }
+        Self { revision: stored.revision, complete, members }
     }
 }
 
--- a/src/discovery/kept/tests.rs
+++ b/src/discovery/stored_format/tests.rs
@@ -43,24 +43,24 @@
 }
 
 #[test]
-fn a_list_kept_before_there_were_services_is_read_and_one_without_is_written_the_same() {
+fn v1_list_is_read_and_written_unchanged() {
     for complete in [false, true] {
-        let kept = OldMessage { revision: 700, complete, members: vec![old("a"), old("b")] };
-        let kept = postcard::to_stdvec(&kept).expect("kept");
+        let stored = OldMessage { revision: 700, complete, members: vec![old("a"), old("b")] };
+        let stored = postcard::to_stdvec(&stored).expect("stored");
         let list = Message { revision: 700, complete, members: vec![new("a", ""), new("b", "")] };
-        let read: List = postcard::from_bytes(&kept).expect("read");
+        let read: List = postcard::from_bytes(&stored).expect("read");
         assert_eq!(Message::from(read), list);
-        assert_eq!(postcard::to_stdvec(&List::from(&list)), Ok(kept));
+        assert_eq!(postcard::to_stdvec(&List::from(&list)), Ok(stored));
     }
 }
 
 #[test]
-fn a_list_with_services_is_read_back_and_refused_by_the_versions_without() {
+fn list_with_services_is_rejected_by_v1_readers() {
     for complete in [false, true] {
         let list = Message { revision: 700, complete, members: vec![new("a", ""), new("b", "s")] };
-        let kept = postcard::to_stdvec(&List::from(&list)).expect("kept");
-        let read: List = postcard::from_bytes(&kept).expect("read");
+        let stored = postcard::to_stdvec(&List::from(&list)).expect("stored");
+        let read: List = postcard::from_bytes(&stored).expect("read");
         assert_eq!(Message::from(read), list);
-        assert!(postcard::from_bytes::<OldMessage>(&kept).is_err(), "refused, not misread");
+        assert!(postcard::from_bytes::<OldMessage>(&stored).is_err(), "refused, not misread");
     }
 }
--- a/src/discovery/sweep.rs
+++ b/src/discovery/sweep.rs
@@ -22,11 +22,11 @@
 
 /// Since when each member drains, as one process saw it. Pure: told the list and the time.
 #[derive(Debug, Default)]
-pub struct Drains(BTreeMap<String, Duration>);
+pub struct DrainTimes(BTreeMap<String, Duration>);
 
-impl Drains {
+impl DrainTimes {
     /// Takes a whole list in as it is at `now`.
-    pub fn seen(&mut self, list: &Message, now: Duration) {
+    pub fn observe(&mut self, list: &Message, now: Duration) {
         let draining = |m: &&super::member::Member| m.phase == Phase::Draining;
         let since = |id: &String| self.0.get(id).copied().unwrap_or(now);
         self.0 =
@@ -34,7 +34,7 @@
     }
 
     /// Those that have drained for `after` by `now`.
-    pub fn due(&self, now: Duration, after: Duration) -> Vec<String> {
+    pub fn drained(&self, now: Duration, after: Duration) -> Vec<String> {
         let due = self.0.iter().filter(|(_, since)| now.saturating_sub(**since) >= after);
         due.map(|(id, _)| id.clone()).collect()
     }
@@ -50,35 +50,35 @@
 ) {
     let duty = Duty::new(instances.clone(), DUTY, holder, ttl);
     let _claim = AbortOnDrop(tokio::task::spawn_local(duty.clone().run()));
-    let asked = duty.clone();
+    let health_duty = duty.clone();
     let _figures = AbortOnDrop(tokio::task::spawn_local(calls::serve(
         listener,
         |_| LIMIT,
         move |call| {
-            let answer = answer(&asked, &call);
+            let answer = answer(&health_duty, &call);
             async move { answer }
         },
     )));
-    let (start, mut drains) = (Instant::now(), Drains::default());
-    let pace = (after / 4).clamp(Duration::from_millis(20), Duration::from_secs(1));
+    let (start, mut drains) = (Instant::now(), DrainTimes::default());
+    let interval = (after / 4).clamp(Duration::from_millis(20), Duration::from_secs(1));
     loop {
-        sleep(pace).await;
+        sleep(interval).await;
         if duty.token().is_none() {
-            drains = Drains::default();
+            drains = DrainTimes::default();
             continue;
         }
         let mut list = None;
         for &address in instances.addresses() {
             // The members as any instance has them: a removal that is out of date is of no effect.
-            let asked = calls::ask(address, Method::GET, "/admin/members", "", ttl).await;
-            if let Ok((StatusCode::OK, body)) = asked {
+            let reply = calls::ask(address, Method::GET, "/admin/members", "", ttl).await;
+            if let Ok((StatusCode::OK, body)) = reply {
                 list = serde_json::from_slice::<Message>(&body).ok();
                 break;
             }
         }
         let Some(list) = list else { continue };
-        drains.seen(&list, start.elapsed());
-        for id in drains.due(start.elapsed(), after) {
+        drains.observe(&list, start.elapsed());
+        for id in drains.drained(start.elapsed(), after) {
             let Some(token) = duty.token() else { break };
             let fence = json!({"duty": DUTY, "token": token});
             let body = json!({"id": id, "phase": "DELETED", "fence": fence});
--- a/src/hollow/driver.rs
+++ b/src/hollow/driver.rs
@@ -36,12 +36,12 @@
 use crate::calls::instances::{Instances, Undecided};
 use crate::calls::{self, Call, LIMIT, Reply, error, say};
 use crate::configuration::ConfigError;
-use crate::discovery::client::{self, News};
+use crate::discovery::client::{self, ListEvent};
 use crate::discovery::filter::Filter;
-use crate::discovery::follow::{Follow, Mode};
-use crate::discovery::keeper::Keeper;
+use crate::discovery::list_cache::ListCache;
 use crate::discovery::member::Message;
 use crate::discovery::registration;
+use crate::discovery::watch_planner::{Mode, WatchPlanner};
 use crate::figures::Text;
 use crate::interface::{ListKind, Time};
 use crate::settings::Facts;
@@ -225,7 +225,7 @@
     async fn balance(&self, i: usize) {
         let BalancerSlot { number, id, figures, .. } = &self.balancers[i];
         let dir = self.config.state_dir.as_ref().map(|dir| dir.join(id));
-        let keeper = match dir.as_deref().map(Keeper::open).transpose() {
+        let keeper = match dir.as_deref().map(ListCache::open).transpose() {
             Ok(keeper) => keeper,
             Err(cause) => return tracing::error!(%cause, id, "state_dir"),
         };
@@ -253,8 +253,8 @@
         let first = number % addresses.len();
         addresses.rotate_left(first);
         let mode = Mode::Pushed { grace };
-        let follow = Follow::new(addresses, mode, known.revision, Instant::now());
-        let follow = if narrowed.whole { follow } else { follow.asking_whole() };
+        let follow = WatchPlanner::new(addresses, mode, known.revision, Instant::now());
+        let follow = if narrowed.whole { follow } else { follow.requesting_full_list() };
         let filter = catalog.names().map_or_else(Filter::all, Filter::services);
         // Held open: nobody moves the list of a hollow balancer.
         let (_orders, ordered) = mpsc::unbounded_channel();
@@ -298,11 +298,11 @@
         &self,
         balancer: &mut HollowBalancer,
         figures: &BalancerFigures,
-        keeper: &Option<Keeper>,
-        news: News,
+        keeper: &Option<ListCache>,
+        news: ListEvent,
     ) {
         // A watch lost is told only where lists are asked for.
-        let News::Told(list) = news else { return };
+        let ListEvent::Updated(list) = news else { return };
         figures.took(list.revision, list.members.len(), list.complete);
         let kind = if list.complete { ListKind::Whole } else { ListKind::Update };
         self.told(balancer, figures, &list, kind);
--- a/src/hollow/mod.rs
+++ b/src/hollow/mod.rs
@@ -2,7 +2,7 @@
 //! size that one machine can't hold in real processes.
 //!
 //! A hollow balancer ([`balancer`]) is the real client of the list ([`crate::discovery::client`]), the real kept list
-//! ([`crate::discovery::keeper`]) and the real services ([`crate::services`], a module each) with their timers, without
+//! ([`crate::discovery::list_cache`]) and the real services ([`crate::services`], a module each) with their timers, without
 //! clients and without connections to upstreams. A hollow upstream ([`upstream`]) registers and renews through
 //! [`crate::discovery::registration`], and listens nowhere: its address is made up from its number.
 //!
--- a/src/replica/command.rs
+++ b/src/replica/command.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::discovery::kept::MemberV1;
 use crate::discovery::member::{Member, Phase};
+use crate::discovery::stored_format::MemberV1;
 use crate::lease::table::{Grant, LeaseCommand, Refusal, Token};
 
 /// The duty under whose token a write is made; the write is refused once that is not the live one.
@@ -70,7 +70,7 @@
 }
 
 /// A command as it is kept and sent: the place of a variant is its number, so new ones come last. A version that
-/// doesn't know a number refuses the entry ([`crate::discovery::kept`]).
+/// doesn't know a number refuses the entry ([`crate::discovery::stored_format`]).
 #[derive(Clone, Serialize, Deserialize)]
 enum Form {
     SeedV1 { revision: u64, members: Vec<MemberV1> },
--- a/src/replica/command/tests.rs
+++ b/src/replica/command/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::discovery::kept::tests::{OldMember, new, old};
+use crate::discovery::stored_format::tests::{OldMember, new, old};
 
 /// A command as versions without services write it.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
--- a/src/replica/host.rs
+++ b/src/replica/host.rs
@@ -35,7 +35,7 @@
 /// Bytes of log that only the consensus itself may use, so that an instance whose log is full still votes.
 const RESERVE: u64 = 8 << 10;
 
-/// What an instance answers to its peers' messages: the forms that it reads ([`crate::discovery::kept`]). Versions
+/// What an instance answers to its peers' messages: the forms that it reads ([`crate::discovery::stored_format`]). Versions
 /// without services answer `{}`.
 pub const FORMS: &str = "{\"forms\":2}";
 
--- a/src/replica/machine.rs
+++ b/src/replica/machine.rs
@@ -30,7 +30,7 @@
 }
 
 /// The state as it is kept in a snapshot. The first byte was `seeded` in the first form, so the first two have the
-/// numbers of `false` and `true`; a version that doesn't know the third refuses it ([`crate::discovery::kept`]).
+/// numbers of `false` and `true`; a version that doesn't know the third refuses it ([`crate::discovery::stored_format`]).
 #[derive(Serialize, Deserialize)]
 enum Form {
     UnseededV1(State<StoreV1>),
--- a/src/replica/machine/tests.rs
+++ b/src/replica/machine/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::discovery::kept::tests::{OldMember, new, old};
+use crate::discovery::stored_format::tests::{OldMember, new, old};
 use crate::lease::table::LeaseCommand;
 
 fn member(id: &str) -> Member {
--- a/src/roles/mod.rs
+++ b/src/roles/mod.rs
@@ -14,7 +14,7 @@
 use crate::cli::{DiscoveryArgs, ReleaseCommand, Role, RoleArgs, StandInArgs, SweepArgs};
 use crate::configuration::ConfigError;
 use crate::discovery::config::DiscoveryConfig;
-use crate::discovery::keeper;
+use crate::discovery::list_cache;
 use crate::discovery::management::Management;
 use crate::discovery::member::{Member, Phase};
 use crate::discovery::registration;
@@ -277,7 +277,7 @@
 /// What is wrong with it, with the file and the offset.
 pub fn check_state(role: Role, dir: &Path) -> Result<String, String> {
     if matches!(role, Role::Proxy | Role::Hollow) {
-        let list = keeper::read(dir).map_err(|e| e.to_string())?;
+        let list = list_cache::read(dir).map_err(|e| e.to_string())?;
         return Ok(match list {
             Some(list) => {
                 format!("a list of {} members at revision {}", list.members.len(), list.revision)
--- a/tests/hollow.rs
+++ b/tests/hollow.rs
@@ -117,7 +117,7 @@
     until("all are in the list", SOON, || phases(&cluster, "SERVING") == 12);
     level(&cluster, at);
     until("the list is kept", SOON, || {
-        let kept = hollowpaddle::discovery::keeper::read(&dir.join("b-00001"));
+        let kept = hollowpaddle::discovery::list_cache::read(&dir.join("b-00001"));
         kept.is_ok_and(|k| k.is_some_and(|k| k.revision == list(&cluster).revision))
     });
     assert_eq!(order(at, "balancers", "{\"do\":\"drop\",\"zone\":\"b\"}"), 1);
--- a/tests/list_client.rs
+++ b/tests/list_client.rs
@@ -6,10 +6,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowpaddle::discovery::client::{self, News, Order};
+use hollowpaddle::discovery::client::{self, ClientCommand, ListEvent};
 use hollowpaddle::discovery::filter::Filter;
-use hollowpaddle::discovery::follow::{Follow, Mode};
 use hollowpaddle::discovery::member::{Message, Phase};
+use hollowpaddle::discovery::watch_planner::{Mode, WatchPlanner};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, duplex};
 use tokio::sync::{mpsc, watch};
 use tokio::task::{LocalSet, spawn_local};
@@ -208,7 +208,7 @@
         }
     }
 
-    fn act(&self, what: Do, orders: &mpsc::UnboundedSender<Order>) {
+    fn act(&self, what: Do, orders: &mpsc::UnboundedSender<ClientCommand>) {
         match what {
             Do::Change => self.revision.send_modify(|r| *r += 1),
             Do::Silence => self.silenced.send_modify(|n| *n += 1),
@@ -227,9 +227,11 @@
             Do::Only(port) => self.door.set(Door::Only(port)),
             Do::Say(text) => self.said.send_modify(|said| *said = (said.0 + 1, text)),
             Do::Restart(revision) => drop(self.revision.send_replace(revision)),
-            Do::Move => drop(orders.send(Order::Moved(vec![address(2)]))),
+            Do::Move => drop(orders.send(ClientCommand::SetAddresses(vec![address(2)]))),
             Do::Follow(names) => {
-                drop(orders.send(Order::Filter(Filter::services(names.iter().copied()))));
+                drop(
+                    orders.send(ClientCommand::SetFilter(Filter::services(names.iter().copied()))),
+                );
             }
         }
     }
@@ -271,24 +273,24 @@
     let heard = Rc::new(RefCell::new(Heard::default()));
     let (orders, ordered) = mpsc::unbounded_channel();
     let all = (1..=addresses).map(address).collect();
-    let follow = Follow::new(all, mode, 41, start);
+    let follow = WatchPlanner::new(all, mode, 41, start);
     let (sink, asks) = (heard.clone(), orders.clone());
     let tell = move |news| match news {
-        News::Told(list) => sink.borrow_mut().told.push((Instant::now(), list)),
-        News::Lost => {
+        ListEvent::Updated(list) => sink.borrow_mut().told.push((Instant::now(), list)),
+        ListEvent::Disconnected => {
             sink.borrow_mut().lost.push(Instant::now());
             let asks = asks.clone();
             spawn_local(async move {
                 sleep(wait).await;
-                let _ = asks.send(Order::Ask);
+                let _ = asks.send(ClientCommand::Poll);
             });
         }
     };
     let connecting = agent.clone();
     let connect = move |to| connecting.connect(to);
     let client = spawn_local(client::run(follow, Filter::all(), connect, ordered, tell));
-    if mode == Mode::Asked {
-        let _ = orders.send(Order::Ask);
+    if mode == Mode::OnDemand {
+        let _ = orders.send(ClientCommand::Poll);
     }
     for (at, what) in script {
         sleep_until(start + Duration::from_millis(*at)).await;
@@ -400,14 +402,14 @@
     ];
     for layout in [Layout::Line, Layout::Indented, Layout::Cut] {
         for (what, script, known) in cases {
-            let after = heard_after(Mode::Asked, layout, script, known);
+            let after = heard_after(Mode::OnDemand, layout, script, known);
             assert!(after <= GRACE / 2, "{what}: heard {after:?} later");
         }
     }
     paused(async {
         let agent = Agent::new(Layout::Line);
         let script = [(0, Do::Down), (4500, Do::Up { hung_too: false }), (5000, Do::Change)];
-        let heard = play(&agent, Mode::Asked, 1, &script, Duration::from_secs(30)).await;
+        let heard = play(&agent, Mode::OnDemand, 1, &script, Duration::from_secs(30)).await;
         let at: Vec<u64> =
             agent.calls.borrow().iter().map(|c| c.0.elapsed().as_millis() as u64).collect();
         let gaps: Vec<u64> = at.windows(2).map(|c| c[0] - c[1]).collect();
@@ -421,7 +423,7 @@
     paused(async {
         let agent = Agent::new(Layout::Line);
         let script = [(0, Do::Refuse), (4600, Do::Accept), (5000, Do::Change)];
-        let heard = play(&agent, Mode::Asked, 3, &script, Duration::from_secs(30)).await;
+        let heard = play(&agent, Mode::OnDemand, 3, &script, Duration::from_secs(30)).await;
         // Each of the three addresses is tried before the caller hears of it; then it says when.
         assert_eq!(heard.lost.len(), 10, "every half second, and not oftener");
         assert_eq!(heard.told.len(), 1);
@@ -435,7 +437,7 @@
 fn a_change_is_told_within_six_seconds_of_the_last_trouble() {
     use Do::*;
     for (mode, addresses) in
-        [(PUSHED, 1), (PUSHED, 3), (PUSHED, 7), (Mode::Asked, 1), (Mode::Asked, 3)]
+        [(PUSHED, 1), (PUSHED, 3), (PUSHED, 7), (Mode::OnDemand, 1), (Mode::OnDemand, 3)]
     {
         for seed in 0..300_u64 {
             let mut random = oorandom::Rand64::new(u128::from(seed));
@@ -480,7 +482,7 @@
     // A bank that starts again finds its discovery slow; and one whose watches have fallen silent.
     let scripts: [&[(u64, Do)]; 2] = [&[], &[(5000, Do::Silence)]];
     let pushed = |ms| Mode::Pushed { grace: Duration::from_millis(ms) };
-    for mode in [pushed(100), pushed(500), PUSHED, pushed(4000), Mode::Asked] {
+    for mode in [pushed(100), pushed(500), PUSHED, pushed(4000), Mode::OnDemand] {
         for addresses in [1, 3] {
             for takes in [500, 1100, 2200, 2900] {
                 for script in scripts {
@@ -591,7 +593,7 @@
 fn a_client_that_follows_other_services_is_told_their_whole_list_and_nothing_older() {
     let follow = |names| Do::Follow(names);
     for (mode, layout) in
-        [(PUSHED, Layout::Line), (Mode::Asked, Layout::Line), (PUSHED, Layout::Cut)]
+        [(PUSHED, Layout::Line), (Mode::OnDemand, Layout::Line), (PUSHED, Layout::Cut)]
     {
         paused(async {
             let agent = Agent::new(layout);
@@ -642,14 +644,15 @@
         let changes = "{\"revision\":41,\"members\":[{\"id\":\"s-1\",\"phase\":\"DELETED\"},\
                        {\"id\":\"s-2\",\"phase\":\"SERVING\"}]}\n";
         agent.revision.send_replace(0);
-        let follow = Follow::new(vec![address(1)], PUSHED, 41, Instant::now()).asking_whole();
+        let follow =
+            WatchPlanner::new(vec![address(1)], PUSHED, 41, Instant::now()).requesting_full_list();
         let connecting = agent.clone();
         let connect = move |to| connecting.connect(to);
         let tell = move |news| drop(tell.send(news));
         let client = spawn_local(client::run(follow, Filter::all(), connect, ordered, tell));
         sleep(Duration::from_millis(100)).await;
         agent.act(Do::Say(changes), &orders);
-        let Some(News::Told(list)) = told.recv().await else { panic!("told") };
+        let Some(ListEvent::Updated(list)) = told.recv().await else { panic!("told") };
         let ids: Vec<&str> = list.members.iter().map(|m| &*m.id).collect();
         assert_eq!((list.revision, list.complete, ids), (41, true, vec!["s-2"]));
         assert_eq!(agent.calls.borrow()[0].1, 0);
--- a/tests/schedules.rs
+++ b/tests/schedules.rs
@@ -368,7 +368,11 @@
         let [a, b] = [pair[0].machine(), pair[1].machine()];
         if a.list().revision() == b.list().revision() {
             let all = Filter::all();
-            assert_eq!(a.list().whole(&all), b.list().whole(&all), "one revision, two lists");
+            assert_eq!(
+                a.list().full_list(&all),
+                b.list().full_list(&all),
+                "one revision, two lists"
+            );
         }
     }
     world.grants
