--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -135,7 +135,9 @@
         tokio::select! {
             command = commands.recv() => match command {
                 Some(ClientCommand::Poll) => planner.poll(Instant::now()),
-                Some(ClientCommand::SetAddresses(addresses)) => planner.set_addresses(addresses, Instant::now()),
+                Some(ClientCommand::SetAddresses(addresses)) => {
+                    planner.set_addresses(addresses, Instant::now())
+                }
                 Some(ClientCommand::SetFilter(other)) if other != filter => {
                     filter = other;
                     planner.filter_changed(Instant::now());
@@ -166,7 +168,12 @@
                         match planner.update_received(serial, told, now) {
                             Verdict::Accept => notify(ListEvent::Updated(list)),
                             Verdict::Older if last_cause != OLDER_LIST => {
-                                tracing::warn!(%address, held, told, "ignored a list older than the current one");
+                                tracing::warn!(
+                                    %address,
+                                    held,
+                                    told,
+                                    "ignored a list older than the current one"
+                                );
                                 last_cause = OLDER_LIST.to_owned();
                             }
                             Verdict::Older => {}
--- a/src/discovery/watch_planner.rs
+++ b/src/discovery/watch_planner.rs
@@ -112,7 +112,7 @@
     /// Creates a planner that calls these addresses in order; there must be at least one. `revision` is that of the
     /// list the client has.
     pub fn new(addresses: Vec<SocketAddr>, mode: Mode, revision: u64, now: Instant) -> Self {
-        let mut follow = Self {
+        let mut planner = Self {
             addresses,
             next_address: 0,
             mode,
@@ -128,9 +128,9 @@
             steps: Vec::new(),
         };
         if mode != Mode::OnDemand {
-            follow.due = Some(now);
+            planner.due = Some(now);
         }
-        follow
+        planner
     }
 
     /// Makes the first call request the full list, because the client's list is of other services. Lists older than
