--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -1,7 +1,6 @@
-//! The client of the list: makes the calls that [`Follow`] decides on, and hands on what is told.
+//! Client of the list service: makes the calls that [`WatchPlanner`] decides on and passes list updates to its owner.
 //!
-//! One task for as long as the client lives, and one for each call (PROTOCOL, "Discovery"). Runs inside a
-//! `LocalSet`.
+//! Runs inside a `LocalSet`: one task for the client and one for each call (PROTOCOL, "Discovery").
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -19,40 +18,41 @@
 use tokio::time::{Instant, sleep_until};
 
 use super::filter::Filter;
-use super::follow::{Follow, Step, Verdict};
 use super::member::{Message, MessageError, Phase};
 use super::objects::{ObjectError, Objects};
+use super::watch_planner::{Step, Verdict, WatchPlanner};
 use crate::socket::Socket;
 use crate::tasks::{AbortOnDrop, settle};
 
-/// No object of a list is longer than this, in bytes: some ten thousand members; more is not discovery.
-const LONGEST_OBJECT: usize = 4 << 20;
+/// Maximum size of one object of a list, in bytes: about ten thousand members. Anything longer is not from discovery.
+const MAX_OBJECT_BYTES: usize = 4 << 20;
 
-/// A timer that fires later than this tells that the process stood still: what is silent may be what was not read.
-const STALL: Duration = Duration::from_millis(250);
-/// Troubles that no call ends with.
-const SILENT: &str = "silence";
-const OLDER: &str = "an older list";
+/// A timer that fires later than this indicates a process stall: a watch may look idle only because its data has not
+/// been read yet.
+const STALL_THRESHOLD: Duration = Duration::from_millis(250);
+/// Values of `last_cause` that are not errors of a call.
+const IDLE: &str = "silence";
+const OLDER_LIST: &str = "an older list";
 
-/// What the client is told by its owner.
+/// A command from the client's owner.
 #[derive(Debug)]
-pub enum Order {
-    /// Call now, where lists are asked for.
-    Ask,
-    /// The list is to be had from these addresses from now on.
-    Moved(Vec<SocketAddr>),
-    /// These services are followed from now on. What is told next is their whole list, of the revision held or a later
-    /// one; of the services before, nothing more is told.
-    Filter(Filter),
+pub enum ClientCommand {
+    /// Call now; for [`Mode::OnDemand`](super::watch_planner::Mode::OnDemand).
+    Poll,
+    /// Use these addresses of the list service from now on.
+    SetAddresses(Vec<SocketAddr>),
+    /// Watch these services from now on. The next update is their full list, at the current revision or a later one;
+    /// there are no further updates of the previous services.
+    SetFilter(Filter),
 }
 
-/// What the client tells.
+/// An event reported by the client.
 #[derive(Debug)]
-pub enum News {
-    /// The list changed; never older than what was told before, unless discovery has moved.
-    Told(Message),
-    /// Nothing is watched; told where lists are asked for.
-    Lost,
+pub enum ListEvent {
+    /// The list changed. The revision never goes back, except after [`ClientCommand::SetAddresses`].
+    Updated(Message),
+    /// No call or watch is open; reported only in [`Mode::OnDemand`](super::watch_planner::Mode::OnDemand).
+    Disconnected,
 }
 
 #[derive(Debug, thiserror::Error)]
@@ -61,11 +61,11 @@
     Connect(#[from] std::io::Error),
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    #[error("answered {0}")]
+    #[error("unexpected HTTP status {0}")]
     Status(hyper::StatusCode),
-    #[error("no list: {0}")]
+    #[error("invalid list: {0}")]
     Object(#[from] ObjectError),
-    #[error("no list: {0}")]
+    #[error("invalid list: {0}")]
     Message(#[from] MessageError),
     #[error("ended")]
     Ended,
@@ -73,141 +73,148 @@
     Request(#[from] hyper::http::Error),
 }
 
-/// What a call's task says.
-enum Word {
+/// An event sent by the task of a call.
+enum CallEvent {
     Answered,
-    Spoke,
-    Told(Message),
+    Alive,
+    Update(Message),
     Ended(WatchError),
 }
 
-/// Connects by TCP.
+/// Opens a TCP connection with `TCP_NODELAY`.
 ///
 /// # Errors
-/// As the system says.
+/// The I/O error of the connect or of the socket option.
 pub async fn connect(address: SocketAddr) -> std::io::Result<Socket> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     Ok(Socket::new(stream))
 }
 
-/// Follows the list, or the services of it that `filter` takes, until `orders` is closed. `connect` opens a connection,
-/// [`connect`] in service.
+/// Watches the services that match `filter` until `commands` is closed, and reports events to `notify`. Connections
+/// are opened by `connect`; production code passes [`connect`].
 pub async fn run<C, F, S>(
-    mut follow: Follow,
+    mut planner: WatchPlanner,
     mut filter: Filter,
     connect: C,
-    mut orders: mpsc::UnboundedReceiver<Order>,
-    tell: impl Fn(News),
+    mut commands: mpsc::UnboundedReceiver<ClientCommand>,
+    notify: impl Fn(ListEvent),
 ) where
     C: Fn(SocketAddr) -> F,
     F: Future<Output = std::io::Result<S>> + 'static,
     S: AsyncRead + AsyncWrite + Unpin + 'static,
 {
-    let (say, mut words) = mpsc::unbounded_channel();
+    let (events, mut received) = mpsc::unbounded_channel();
     let mut calls: FxHashMap<u64, AbortOnDrop> = FxHashMap::default();
-    // Each cause is logged once until a watch speaks: a call that fails is soon made again.
-    let mut trouble = String::new();
+    // Failed calls are soon retried, so each cause is logged once until a watch receives data again.
+    let mut last_cause = String::new();
     loop {
-        for step in follow.steps() {
+        for step in planner.steps() {
             match step {
                 Step::Call { serial, address, index } => {
-                    let (stream, say) = (connect(address), say.clone());
+                    let (stream, events) = (connect(address), events.clone());
                     let uri = format!("/api/targets?stream=1&index={index}{}", filter.query());
                     let call = tokio::task::spawn_local(async move {
-                        let word = |word| drop(say.send((serial, address, word)));
-                        if let Err(cause) = watch(stream, address, uri, word).await {
-                            word(Word::Ended(cause));
+                        let report = |event| drop(events.send((serial, address, event)));
+                        if let Err(cause) = watch(stream, address, uri, report).await {
+                            report(CallEvent::Ended(cause));
                         }
                     });
                     calls.insert(serial, AbortOnDrop(call));
                 }
                 Step::Drop(serial) => drop(calls.remove(&serial)),
-                Step::Lost => tell(News::Lost),
+                Step::Disconnected => notify(ListEvent::Disconnected),
             }
         }
         let due = async {
-            match follow.due() {
+            match planner.due() {
                 Some(due) => sleep_until(due).await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
-            order = orders.recv() => match order {
-                Some(Order::Ask) => follow.ask(Instant::now()),
-                Some(Order::Moved(addresses)) => follow.moved(addresses, Instant::now()),
-                Some(Order::Filter(other)) if other != filter => {
+            command = commands.recv() => match command {
+                Some(ClientCommand::Poll) => planner.poll(Instant::now()),
+                Some(ClientCommand::SetAddresses(addresses)) => {
+                    planner.set_addresses(addresses, Instant::now())
+                }
+                Some(ClientCommand::SetFilter(other)) if other != filter => {
                     filter = other;
-                    follow.refiltered(Instant::now());
+                    planner.filter_changed(Instant::now());
                 }
-                Some(Order::Filter(_)) => {}
+                Some(ClientCommand::SetFilter(_)) => {}
                 None => return,
             },
-            word = words.recv() => {
-                // We hold a sender of it ourselves.
-                let Some((serial, address, word)) = word else { return };
+            event = received.recv() => {
+                // Never `None`: this function holds a sender of the channel.
+                let Some((serial, address, event)) = event else { return };
                 let now = Instant::now();
-                match word {
-                    Word::Answered => follow.answered(serial, now),
-                    Word::Spoke => {
-                        if follow.spoke(serial, now) && !trouble.is_empty() {
-                            tracing::info!(%address, after = trouble, "the list is watched again");
-                            trouble.clear();
+                match event {
+                    CallEvent::Answered => planner.answered(serial, now),
+                    CallEvent::Alive => {
+                        if planner.alive(serial, now) && !last_cause.is_empty() {
+                            tracing::info!(%address, after = last_cause, "list watch re-established");
+                            last_cause.clear();
                         }
                     }
-                    Word::Told(mut list) => {
-                        let (held, told) = (follow.revision(), list.revision);
-                        if follow.whole() && !list.complete {
-                            // All changes there were.
+                    CallEvent::Update(mut list) => {
+                        let (held, told) = (planner.revision(), list.revision);
+                        if planner.needs_full_list() && !list.complete {
+                            // Changes since index 0 are the full list.
                             list.complete = true;
                             list.members.retain(|m| m.phase != Phase::Deleted);
                         }
-                        filter.narrow(&mut list);
-                        match follow.told(serial, told, now) {
-                            Verdict::Take => tell(News::Told(list)),
-                            Verdict::Older if trouble != OLDER => {
-                                tracing::warn!(%address, held, told, "an older list is left aside");
-                                trouble = OLDER.to_owned();
+                        filter.apply_to(&mut list);
+                        match planner.update_received(serial, told, now) {
+                            Verdict::Accept => notify(ListEvent::Updated(list)),
+                            Verdict::Older if last_cause != OLDER_LIST => {
+                                tracing::warn!(
+                                    %address,
+                                    held,
+                                    told,
+                                    "ignored a list older than the current one"
+                                );
+                                last_cause = OLDER_LIST.to_owned();
                             }
                             Verdict::Older => {}
-                            Verdict::Nobody => {}
+                            Verdict::ClosedCall => {}
                         }
                     }
-                    Word::Ended(cause) => {
+                    CallEvent::Ended(cause) => {
                         calls.remove(&serial);
-                        follow.ended(serial, now);
+                        planner.ended(serial, now);
                         let cause = cause.to_string();
-                        if trouble != cause {
-                            let revision = follow.revision();
-                            tracing::info!(cause, %address, revision, "watch over");
-                            trouble = cause;
+                        if last_cause != cause {
+                            let revision = planner.revision();
+                            tracing::info!(cause, %address, revision, "list watch ended");
+                            last_cause = cause;
                         }
                     }
                 }
             }
             () = due => {
-                if follow.due().is_some_and(|due| due.elapsed() > STALL) {
-                    settle(|| !words.is_empty()).await;
-                    if !words.is_empty() {
+                if planner.due().is_some_and(|due| due.elapsed() > STALL_THRESHOLD) {
+                    settle(|| !received.is_empty()).await;
+                    if !received.is_empty() {
                         continue;
                     }
                 }
-                if !calls.is_empty() && trouble != SILENT {
-                    tracing::info!(revision = follow.revision(), "the list is silent");
-                    trouble = SILENT.to_owned();
+                if !calls.is_empty() && last_cause != IDLE {
+                    tracing::info!(revision = planner.revision(), "list watch is idle");
+                    last_cause = IDLE.to_owned();
                 }
-                follow.pass(Instant::now());
+                planner.tick(Instant::now());
             }
         }
     }
 }
 
-/// One call, and the watch that it becomes, for as long as it lasts.
+/// Makes one call and reads the watch that it opens until it ends or fails.
 async fn watch<S>(
     connecting: impl Future<Output = std::io::Result<S>>,
     address: SocketAddr,
     uri: String,
-    say: impl Fn(Word),
+    report: impl Fn(CallEvent),
 ) -> Result<(), WatchError>
 where
     S: AsyncRead + AsyncWrite + Unpin + 'static,
@@ -222,16 +229,16 @@
     if !response.status().is_success() {
         return Err(WatchError::Status(response.status()));
     }
-    say(Word::Answered);
+    report(CallEvent::Answered);
     let mut body = response.into_body();
-    let mut objects = Objects::new(LONGEST_OBJECT);
+    let mut objects = Objects::new(MAX_OBJECT_BYTES);
     loop {
         let frame = body.frame().await.ok_or(WatchError::Ended)??;
         let Ok(data) = frame.into_data() else { continue };
         objects.add(&data);
         while let Some(object) = objects.take()? {
-            say(Word::Told(Message::read(&object)?));
+            report(CallEvent::Update(Message::read(&object)?));
         }
-        say(Word::Spoke);
+        report(CallEvent::Alive);
     }
 }
--- a/src/discovery/management.rs
+++ b/src/discovery/management.rs
@@ -1,24 +1,25 @@
-//! What may be asked of one instance of the list service at its management address. Bodies and answers are JSON.
+//! HTTP calls at the management address of a list service instance. Request and response bodies are JSON.
 //!
 //! | call | body | |
 //! | --- | --- | --- |
 //! | `GET /admin/health` | | 200 when the list can be read here, else 503 |
-//! | `GET /admin/stats` | | standing in the cluster, revision, counts |
+//! | `GET /admin/stats` | | role in the cluster, revision, counters |
 //! | `GET /admin/leases` | | every duty with its holder and tokens |
-//! | `GET /admin/members` | | the list as this instance has it |
-//! | `GET /metrics` | | the figures in Prometheus's text format |
-//! | `POST /admin/members` | `{member, ttl_ms?, fence?}` | registers a member, or changes its entry |
-//! | `POST /admin/members/renew` | `{id}` | a member with a TTL is still there |
-//! | `POST /admin/members/leave` | `{id}` | takes it out |
+//! | `GET /admin/members` | | the list at this instance |
+//! | `GET /metrics` | | metrics in the Prometheus text format |
+//! | `POST /admin/members` | `{member, ttl_ms?, fence?}` | registers a member or replaces its entry |
+//! | `POST /admin/members/renew` | `{id}` | renews a member with a TTL |
+//! | `POST /admin/members/leave` | `{id}` | removes a member |
 //! | `POST /admin/members/phase` | `{id, phase, fence?}` | `SERVING`, `DRAINING`, or `DELETED` |
 //! | `POST /admin/leases/acquire` | `{duty, holder, ttl_ms}` | a grant with its token |
 //! | `POST /admin/leases/renew`, `/release` | `{duty, token}` | |
-//! | `POST /peer/messages` | | from other instances |
+//! | `POST /peer/messages` | | replication messages from other instances |
 //!
-//! 200 is yes, once a majority has it on disk. 400 bad body, 404 no such call or member, 405, 413; 409 another
-//! holds the duty, or the token is stale; 421 another instance leads: `{"leader":"HOST:PORT"}` where it is known;
-//! 503 nobody knows yet, or the first service of all and an instance that has not said that it knows any; 507 the
-//! disk has no room.
+//! Status codes: 200 once a majority has the write on disk; 400 invalid body; 404 no such call or member; 405 wrong
+//! method; 413 body too large; 409 another holder has the duty, or the token is stale; 421 another instance leads, with
+//! `{"leader":"HOST:PORT"}` if it is known; 503 too many writes are waiting, the outcome is not known yet, or the write
+//! is the first with a service and some instance has not announced that it supports services; 507 the disk is full or
+//! has failed.
 
 use std::rc::Rc;
 
@@ -74,19 +75,19 @@
     token: Token,
 }
 
-/// The management address of one instance.
+/// Handler of the calls at the management address.
 pub struct Management {
     host: Rc<Host>,
     service: Rc<ListService>,
 }
 
 impl Management {
-    /// For this instance.
+    /// Creates the handler for this instance.
     pub fn new(host: Rc<Host>, service: Rc<ListService>) -> Rc<Self> {
         Rc::new(Self { host, service })
     }
 
-    /// Answers calls until the task is dropped.
+    /// Serves calls until the task is dropped.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let limit = |path: &str| if path == "/peer/messages" { PEER_CALL_MAX_BYTES } else { LIMIT };
         calls::serve(listener, limit, move |call| self.clone().answer(call)).await;
@@ -101,7 +102,7 @@
             };
         }
         if path == "/admin/members" && call.method == Method::GET {
-            let line = self.host.read(|m| m.list().whole(&Filter::all()).line());
+            let line = self.host.read(|m| m.list().full_list(&Filter::all()).line());
             return calls::text(StatusCode::OK, "application/json", line);
         }
         let reads = ["/admin/health", "/admin/stats", "/admin/leases", "/metrics"];
@@ -118,8 +119,8 @@
         match (reads.contains(&path), writes.contains(&path)) {
             (true, _) if call.method == Method::GET => self.read(path),
             (_, true) if call.method == Method::POST => match self.command(path, &call.body) {
-                Ok(Asked::Command(command)) => self.write(command).await,
-                Ok(Asked::Renewed(reply)) => reply,
+                Ok(ManagementCall::Command(command)) => self.write(command).await,
+                Ok(ManagementCall::MemberRenewed(reply)) => reply,
                 Err(cause) => error(StatusCode::BAD_REQUEST, cause),
             },
             (false, false) => error(StatusCode::NOT_FOUND, "no such call"),
@@ -163,10 +164,15 @@
         let (revision, members) = self.host.read(|m| (m.list().revision(), m.list().len()));
         text.gauge("list_revision", "Revision of the list here", &[], revision);
         text.gauge("list_members", "Members in the list", &[], members as u64);
-        let looked = self.host.read(|m| m.list().looked());
-        text.counter("list_looked", "Entries looked at to tell lists and changes", &[], looked);
-        let made = self.service.made();
-        text.counter("list_lines", "Lines made for watches; shared ones once", &[], made);
+        let entries_read = self.host.read(|m| m.list().entries_read());
+        text.counter(
+            "list_looked",
+            "Entries looked at to tell lists and changes",
+            &[],
+            entries_read,
+        );
+        let lines_built = self.service.lines_built();
+        text.counter("list_lines", "Lines made for watches; shared ones once", &[], lines_built);
         text.gauge("list_watches", "Watches open here", &[], self.service.watches());
         text.gauge("replica_term", "Term of the consensus", &[], term);
         text.gauge(
@@ -205,9 +211,9 @@
         text.reply()
     }
 
-    /// What a body asks for; a renewal of a member is the leader's own affair and needs no decision.
-    fn command(&self, path: &str, body: &[u8]) -> Result<Asked, String> {
-        Ok(Asked::Command(match path {
+    /// Parses a write call. The renewal of a member is answered here: the leader handles it alone, without replication.
+    fn command(&self, path: &str, body: &[u8]) -> Result<ManagementCall, String> {
+        Ok(ManagementCall::Command(match path {
             "/admin/members" => {
                 let Register { member, ttl_ms, fence } = read(body)?;
                 if let Some((key, cause)) = member.fault() {
@@ -220,10 +226,10 @@
             }
             "/admin/members/renew" => {
                 let Named { id } = read(body)?;
-                return Ok(Asked::Renewed(match self.host.renew_member(&id) {
+                return Ok(ManagementCall::MemberRenewed(match self.host.renew_member(&id) {
                     Ok(true) => say(StatusCode::OK, &json!({})),
                     Ok(false) => error(StatusCode::NOT_FOUND, "no such member with a TTL"),
-                    Err(why) => unwritten(why),
+                    Err(why) => write_error(why),
                 }));
             }
             "/admin/members/leave" => {
@@ -273,14 +279,14 @@
             }
             Ok(Outcome::Unknown) => error(StatusCode::NOT_FOUND, "no such member"),
             Ok(Outcome::Refused(refusal)) => error(StatusCode::CONFLICT, refusal),
-            Err(why) => unwritten(why),
+            Err(why) => write_error(why),
         }
     }
 }
 
-enum Asked {
+enum ManagementCall {
     Command(Command),
-    Renewed(Reply),
+    MemberRenewed(Reply),
 }
 
 fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, String> {
@@ -288,7 +294,7 @@
     serde_path_to_error::deserialize(&mut reader).map_err(|e| e.to_string())
 }
 
-fn unwritten(why: WriteError) -> Reply {
+fn write_error(why: WriteError) -> Reply {
     let status = match &why {
         WriteError::NotLeader(Some(leader)) => {
             let leader = leader.to_string();
--- a/src/discovery/server.rs
+++ b/src/discovery/server.rs
@@ -1,15 +1,15 @@
-//! The list service over HTTP/1.1 (PROTOCOL, "Discovery"): `GET /api/targets` answers the whole list;
-//! `GET /api/targets?stream=1&index=N` is a watch, a chunked answer with one JSON object a line and an
-//! empty line every heartbeat while nothing changes. `GET /-/ready` answers 200 with the revision.
+//! The list service over HTTP/1.1 (PROTOCOL, "Discovery"): `GET /api/targets` answers the full list;
+//! `GET /api/targets?stream=1&index=N` opens a watch, a chunked response with one JSON object per line and an empty
+//! line as a heartbeat while nothing changes. `GET /-/ready` answers 200 with the revision once the list can be read.
 //!
-//! `service=NAME`, repeatable and percent-encoded, narrows either to the members of these services ([`Filter`]).
-//! The revision stays that of the whole list. A watch is told nothing of other services' changes; once they have moved
-//! the revision on, its next heartbeat is `{"revision":N,"complete":false,"members":[]}`, so that it goes on from
-//! there at another instance. Asked from index 0, a watch of some services is told their whole list first.
+//! `service=NAME`, repeatable and percent-encoded, filters either by service ([`Filter`]). The revision stays that of
+//! the full list. A watch is not sent other services' changes; once they have advanced the revision, its next
+//! heartbeat is `{"revision":N,"complete":false,"members":[]}`, so that the client can continue from there at another
+//! instance. A filtered watch from index 0 is sent the full list of its services first.
 //!
-//! Runs on a current-thread runtime inside a `LocalSet`: it reads the replicated state where it is, and each
-//! change is announced on a `watch` channel of revisions that every watch follows. Every instance serves, the
-//! leader and its followers alike: their state only ever moves forward, so no watch sees a revision go back.
+//! Runs on a current-thread runtime inside a `LocalSet`, so it reads the replicated state in place. Each change is
+//! announced on a `watch` channel of revisions that every watch receives. The leader and its followers all serve: their
+//! state only ever moves forward, so no watch sees a revision go back.
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -32,17 +32,17 @@
 
 use super::filter::Filter;
 use super::member::Message;
-use super::store::{Since, Store};
+use super::store::{ChangesSince, Store};
 use crate::calls::{self, LIMIT};
 use crate::replica::host::Host;
 use crate::socket::Socket;
 
-/// Lines a slow watcher may have waiting; what changes meanwhile is told in one line once it reads on.
-const QUEUED_LINES: usize = 4;
+/// Maximum number of lines queued for a slow reader; later changes are merged into one line once it reads again.
+const MAX_QUEUED_LINES: usize = 4;
 
-type Answer = Response<Either<Full<Bytes>, Lines>>;
+type ListResponse = Response<Either<Full<Bytes>, Lines>>;
 
-/// The lines of one watch, as they are made.
+/// Response body of one watch: a stream of lines.
 pub struct Lines(mpsc::Receiver<Bytes>);
 
 impl Body for Lines {
@@ -57,72 +57,74 @@
     }
 }
 
-/// One list service: the state, the pace of heartbeats, and the watches.
+/// The list service of one instance.
 pub struct ListService {
     host: Rc<Host>,
     heartbeat: Duration,
-    /// What watches of one filter share, as long as one of them is open.
-    filters: RefCell<FxHashMap<Filter, Rc<Shared>>>,
+    /// Shared state of the watches of each filter, while at least one of them is open.
+    filters: RefCell<FxHashMap<Filter, Rc<FilterState>>>,
     watches: Cell<u64>,
-    made: Cell<u64>,
+    lines_built: Cell<u64>,
 }
 
-/// What watches of one filter share.
+/// State shared by the watches of one filter.
 #[derive(Debug)]
-struct Shared {
+struct FilterState {
     filter: Filter,
-    /// The list's revision when it was last looked at, and the last up to it in which something of the filter changed.
-    level: Cell<(u64, u64)>,
-    /// The last line made: watches that are level get the same bytes.
+    /// Cached result of [`Store::last_change`]: the list revision it is for, and the revision it returned.
+    last_change_at: Cell<(u64, u64)>,
+    /// The last line built; watches at the same position share its bytes.
     line: RefCell<Option<Line>>,
 }
 
-/// One line of a watch, and what it is good for.
+/// One line of a watch, and the range of changes that it covers.
 #[derive(Clone, Debug)]
 struct Line {
-    /// From which change on; `None` for a whole list.
+    /// The change it starts after; `None` for a full list.
     from: Option<u64>,
-    /// Up to which.
+    /// The last change it includes.
     to: u64,
-    /// The revision that it tells.
+    /// The revision it carries.
     revision: u64,
     bytes: Bytes,
 }
 
-impl Shared {
+impl FilterState {
     fn new(filter: Filter) -> Rc<Self> {
-        Rc::new(Self { filter, level: Cell::default(), line: RefCell::default() })
+        Rc::new(Self { filter, last_change_at: Cell::default(), line: RefCell::default() })
     }
 
-    /// The last revision in which something of the filter changed.
+    /// The last revision in which a member that matches the filter changed.
     fn last_change(&self, list: &Store) -> u64 {
-        if self.level.get().0 != list.revision() {
-            self.level.set((list.revision(), list.last_change(list.revision(), &self.filter)));
+        if self.last_change_at.get().0 != list.revision() {
+            self.last_change_at
+                .set((list.revision(), list.last_change(list.revision(), &self.filter)));
         }
-        self.level.get().1
+        self.last_change_at.get().1
     }
 }
 
-/// One more watch, while it lives.
-struct Watching {
+/// Counts one open watch and holds the state of its filter until dropped.
+struct WatchGuard {
     service: Rc<ListService>,
-    shared: Rc<Shared>,
+    shared: Rc<FilterState>,
 }
 
-impl Watching {
+impl WatchGuard {
     fn new(service: Rc<ListService>, filter: Filter) -> Self {
         service.watches.set(service.watches.get() + 1);
         let mut filters = service.filters.borrow_mut();
-        let shared = filters.entry(filter).or_insert_with_key(|f| Shared::new(f.clone())).clone();
+        let shared =
+            filters.entry(filter).or_insert_with_key(|f| FilterState::new(f.clone())).clone();
         drop(filters);
         Self { service, shared }
     }
 }
 
-impl Drop for Watching {
+impl Drop for WatchGuard {
     fn drop(&mut self) {
         self.service.watches.set(self.service.watches.get() - 1);
-        // The service's own, and this one.
+        // The references in the map and in this guard: no other watch has this filter.
         if Rc::strong_count(&self.shared) == 2 {
             self.service.filters.borrow_mut().remove(&self.shared.filter);
         }
@@ -130,18 +132,18 @@
 }
 
 impl ListService {
-    /// A service over this state; `heartbeat` is the gap between empty lines on a quiet watch.
+    /// Creates a service over this state; `heartbeat` is the interval between heartbeats of an idle watch.
     pub fn new(host: Rc<Host>, heartbeat: Duration) -> Rc<Self> {
-        let (filters, watches, made) = Default::default();
-        Rc::new(Self { host, heartbeat, filters, watches, made })
+        let (filters, watches, lines_built) = Default::default();
+        Rc::new(Self { host, heartbeat, filters, watches, lines_built })
     }
 
-    /// Lines made for watches so far; those that several share count once.
-    pub fn made(&self) -> u64 {
-        self.made.get()
+    /// Number of lines built for watches so far; a shared line counts once.
+    pub fn lines_built(&self) -> u64 {
+        self.lines_built.get()
     }
 
-    /// How many watches are open.
+    /// Number of open watches.
     pub fn watches(&self) -> u64 {
         self.watches.get()
     }
@@ -162,7 +164,10 @@
         .await;
     }
 
-    async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Result<Answer, Infallible> {
+    async fn answer(
+        self: Rc<Self>,
+        request: Request<Incoming>,
+    ) -> Result<ListResponse, Infallible> {
         let (head, body) = request.into_parts();
         if Limited::new(body, LIMIT).collect().await.is_err() {
             return Ok(error(StatusCode::PAYLOAD_TOO_LARGE, "a body over 64 KiB"));
@@ -176,8 +181,8 @@
                 let (ready, revision) =
                     (self.host.ready(), self.host.read(|m| m.list().revision()));
                 let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-                let said = serde_json::json!({"ready": ready, "revision": revision});
-                return Ok(calls::say(status, &said).map(Either::Left));
+                let body = serde_json::json!({"ready": ready, "revision": revision});
+                return Ok(calls::say(status, &body).map(Either::Left));
             }
             _ => return Ok(error(StatusCode::NOT_FOUND, "no such path")),
         }
@@ -187,16 +192,16 @@
         match Query::parse(head.uri.query().unwrap_or("")) {
             Err(cause) => Ok(error(StatusCode::BAD_REQUEST, cause)),
             Ok(Query { stream: false, filter, .. }) => {
-                let line = self.host.read(|m| m.list().whole(&filter).line());
+                let line = self.host.read(|m| m.list().full_list(&filter).line());
                 Ok(calls::text(StatusCode::OK, "application/json", line).map(Either::Left))
             }
             Ok(Query { stream: true, index, filter }) => Ok(self.watch(index, filter)),
         }
     }
 
-    /// What a watch that holds revision `held` is told now, and the revision it has then; `None` where nothing of
-    /// its filter has changed. One that holds none is told the whole list.
-    fn line(&self, shared: &Shared, held: Option<u64>) -> Option<Line> {
+    /// The next line for a watch at revision `held`, or with the full list if `held` is `None`. Returns `None` if
+    /// nothing that matches the filter has changed.
+    fn line(&self, shared: &FilterState, held: Option<u64>) -> Option<Line> {
         self.host.read(|m| {
             let (list, filter) = (m.list(), &shared.filter);
             let now = list.revision();
@@ -204,40 +209,40 @@
             if held.is_some_and(|held| held >= to) {
                 return None;
             }
-            // Between two changes of the filter it does not matter which revision is held.
+            // All revisions between two changes that match the filter are equivalent.
             let covered = held.filter(|held| *held >= list.oldest());
             let from = covered.map(|held| list.last_change(held, filter));
             let mut last = shared.line.borrow_mut();
-            // Who asks for a whole list may hold one as new as the list is here.
-            let serves = |line: &&Line| {
+            // A client that needs the full list may already be at the current revision, so the line must be as new.
+            let reusable = |line: &&Line| {
                 (line.from, line.to) == (from, to) && (from.is_some() || line.revision == now)
             };
-            if let Some(line) = last.as_ref().filter(serves) {
+            if let Some(line) = last.as_ref().filter(reusable) {
                 return Some(line.clone());
             }
-            let message = match covered.map(|held| list.since(held, filter)) {
-                None => list.whole(filter),
-                Some(Since::Changes(message) | Since::Whole(message)) => message,
-                Some(Since::Current | Since::Ahead) => return None,
+            let message = match covered.map(|held| list.changes_since(held, filter)) {
+                None => list.full_list(filter),
+                Some(ChangesSince::Changes(message) | ChangesSince::FullList(message)) => message,
+                Some(ChangesSince::Current | ChangesSince::Ahead) => return None,
             };
-            self.made.set(self.made.get() + 1);
+            self.lines_built.set(self.lines_built.get() + 1);
             let (revision, bytes) = (message.revision, Bytes::from(message.line()));
             *last = Some(Line { from, to, revision, bytes });
             last.clone()
         })
     }
 
-    fn watch(self: Rc<Self>, index: u64, filter: Filter) -> Answer {
-        let (lines, body) = mpsc::channel(QUEUED_LINES);
+    fn watch(self: Rc<Self>, index: u64, filter: Filter) -> ListResponse {
+        let (lines, body) = mpsc::channel(MAX_QUEUED_LINES);
         let mut revisions = self.host.revisions();
-        // What was told of other services than these now is of no use.
-        let anew = index == 0 && filter != Filter::all();
-        let watching = Watching::new(self, filter);
+        // A list of other services, sent earlier, is of no use to the client.
+        let needs_full_list = index == 0 && filter != Filter::all();
+        let guard = WatchGuard::new(self, filter);
         tokio::task::spawn_local(async move {
-            let Watching { service, shared } = &watching;
-            // What it was told, and up to where there is nothing more to tell.
-            let (mut told, mut held) = (index, (!anew).then_some(index));
-            let mut due = Instant::now() + service.heartbeat;
+            let WatchGuard { service, shared } = &guard;
+            // `sent` is the revision sent last; up to `held`, no change is left to send.
+            let (mut sent, mut held) = (index, (!needs_full_list).then_some(index));
+            let mut next_heartbeat = Instant::now() + service.heartbeat;
             loop {
                 revisions.mark_unchanged();
                 let mut line = service.line(shared, held).map(|line| (line.revision, line.bytes));
@@ -249,16 +254,16 @@
                                 return;
                             }
                         }
-                        () = sleep_until(due) => line = Some(sign_of_life(told, held)),
+                        () = sleep_until(next_heartbeat) => line = Some(heartbeat_line(sent, held)),
                         () = lines.closed() => return,
                     }
                 }
                 if let Some((revision, line)) = line {
-                    (told, held) = (revision, held.max(Some(revision)));
+                    (sent, held) = (revision, held.max(Some(revision)));
                     if lines.send(line).await.is_err() {
                         return;
                     }
-                    due = Instant::now() + service.heartbeat;
+                    next_heartbeat = Instant::now() + service.heartbeat;
                 }
             }
         });
@@ -268,19 +273,19 @@
     }
 }
 
-/// A quiet watch's sign of life, and the revision it has then: an empty line, unless other services' changes have
-/// moved the revision on.
-fn sign_of_life(told: u64, held: Option<u64>) -> (u64, Bytes) {
+/// The heartbeat of an idle watch and the revision the client has after it: an empty line, or a message without members
+/// if changes of other services have advanced the revision.
+fn heartbeat_line(sent: u64, held: Option<u64>) -> (u64, Bytes) {
     match held {
-        Some(held) if held > told => {
+        Some(held) if held > sent => {
             let message = Message { revision: held, ..Message::default() };
             (held, Bytes::from(message.line()))
         }
-        _ => (told, Bytes::from_static(b"\n")),
+        _ => (sent, Bytes::from_static(b"\n")),
     }
 }
 
-/// The query of `/api/targets`.
+/// Parsed query of `/api/targets`.
 #[derive(Debug, PartialEq)]
 struct Query {
     stream: bool,
@@ -305,7 +310,7 @@
     }
 }
 
-fn error(status: StatusCode, cause: &str) -> Answer {
+fn error(status: StatusCode, cause: &str) -> ListResponse {
     calls::error(status, cause).map(Either::Left)
 }
 
--- a/src/discovery/store.rs
+++ b/src/discovery/store.rs
@@ -1,11 +1,11 @@
 //! Members by id under one monotonic revision, with a bounded history of changes for watches.
 //!
-//! Pure: no I/O, no clock. Every change that alters the list bumps the revision by one and is kept in the
-//! history; the oldest changes are dropped (compaction) once more than `keep` are held. A watch that asks
-//! from a revision that is no longer covered gets the whole list.
+//! Pure: no I/O, no clock. Every change of the list increments the revision by one and is added to the history. Once
+//! the history exceeds `keep` changes, the oldest are dropped (compaction). A watch that requests changes since a
+//! revision before the history gets the full list.
 //!
-//! Members and changes are filed by service too, so that what is told of some services costs what these have, however
-//! large the rest of the list is.
+//! Members and changes are also indexed by service, so that the cost of a request for some services does not depend
+//! on the size of the rest of the list.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -13,58 +13,58 @@
 use serde::{Deserialize, Serialize};
 
 use super::filter::Filter;
-use super::kept::MemberV1;
 use super::member::{Member, Message, Phase};
+use super::stored_format::MemberV1;
 
 /// The list and its history.
 #[derive(Clone, Debug)]
 pub struct Store {
     revision: u64,
     members: BTreeMap<String, Member>,
-    /// Oldest first, one a revision.
+    /// Oldest first, one per revision.
     history: VecDeque<Change>,
     keep: usize,
-    /// What of it concerns each service.
-    services: BTreeMap<String, Part>,
-    looked: Cell<u64>,
+    /// Index of members and history by service.
+    services: BTreeMap<String, ServiceIndex>,
+    entries_read: Cell<u64>,
 }
 
-/// One service's part of the list.
+/// Members and changes of one service.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Part {
-    /// Its members' ids.
+struct ServiceIndex {
+    /// Ids of its members.
     members: BTreeSet<String>,
-    /// The revisions in the history whose entry was its own, or left it.
+    /// Revisions in the history whose entry is in the service or has left it.
     changes: VecDeque<u64>,
 }
 
-/// What is filed, and what was looked at, follow from the rest.
+/// Ignores the index, which is derived from the rest, and the counter of entries read.
 impl PartialEq for Store {
     fn eq(&self, other: &Self) -> bool {
-        let of = |s: &Self| (s.revision, s.keep);
-        of(self) == of(other) && self.members == other.members && self.history == other.history
+        let key = |s: &Self| (s.revision, s.keep);
+        key(self) == key(other) && self.members == other.members && self.history == other.history
     }
 }
 
 /// One change of the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Change {
-    /// The revision that the list has with it.
+    /// Revision of the list after the change.
     revision: u64,
-    /// The entry.
+    /// The new entry, with phase `Deleted` if it was removed.
     member: Member,
-    /// The service that it was in before, where that is another.
+    /// Previous service of the entry, if that was a different one.
     left: Option<String>,
 }
 
 impl Change {
-    /// The services that it concerns.
+    /// The services affected by the change.
     fn services(&self) -> impl Iterator<Item = &String> {
         std::iter::once(&self.member.service).chain(&self.left)
     }
 }
 
-/// A list without services as it is kept in a snapshot of the state ([`super::kept`]).
+/// Snapshot form of a list without services ([`super::stored_format`]).
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StoreV1 {
     revision: u64,
@@ -73,7 +73,7 @@
     keep: usize,
 }
 
-/// Any list as it is kept in a snapshot of the state.
+/// Snapshot form of any list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StoreV2 {
     revision: u64,
@@ -82,22 +82,22 @@
     keep: usize,
 }
 
-/// What a watch from some revision is told first.
+/// What to send first to a watch that has some revision.
 #[derive(Debug, PartialEq)]
-pub enum Since {
-    /// Nothing has changed after it yet.
+pub enum ChangesSince {
+    /// Nothing: the list is at this revision.
     Current,
-    /// The changes after it, each id once with its last entry.
+    /// The changes since, each id once with its latest entry.
     Changes(Message),
-    /// It is older than the history kept: the whole list.
-    Whole(Message),
-    /// This list is behind it: there is nothing to tell that would not go back. It waits until the list has
+    /// The full list, because the revision is older than the history.
+    FullList(Message),
+    /// Nothing yet: the list is behind this revision, and the watch must not go back. It waits until the list has
     /// caught up.
     Ahead,
 }
 
 impl Store {
-    /// An empty list at revision `start`, keeping at most `keep` changes (at least one).
+    /// Creates an empty list at revision `start` with a history of at most `keep` changes; 0 is taken as 1.
     pub fn new(start: u64, keep: usize) -> Self {
         Self {
             revision: start,
@@ -105,16 +105,16 @@
             history: VecDeque::new(),
             keep: keep.max(1),
             services: BTreeMap::new(),
-            looked: Cell::default(),
+            entries_read: Cell::default(),
         }
     }
 
-    /// The revision of the list as it stands.
+    /// Current revision of the list.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// How many members the list has.
+    /// Number of members in the list.
     pub fn len(&self) -> usize {
         self.members.len()
     }
@@ -124,154 +124,155 @@
         self.members.is_empty()
     }
 
-    /// The oldest revision a watch may ask from and be told changes rather than the whole list.
+    /// Oldest revision since which the history has all changes; from earlier ones, a watch gets the full list.
     pub fn oldest(&self) -> u64 {
         self.history.front().map_or(self.revision, |change| change.revision - 1)
     }
 
-    /// Puts an entry in, or takes it out where its phase is `Deleted`. Returns the new revision, or `None`
-    /// where nothing changed (the same entry again, or the deletion of one that is not there).
+    /// Adds or replaces an entry, or removes it if its phase is `Deleted`. Returns the new revision, or `None` if
+    /// nothing changed (an identical entry, or the removal of a missing one).
     pub fn apply(&mut self, member: Member) -> Option<u64> {
-        let now = self.members.get(&member.id);
+        let current = self.members.get(&member.id);
         let unchanged = match member.phase {
-            Phase::Deleted => now.is_none(),
-            _ => now == Some(&member),
+            Phase::Deleted => current.is_none(),
+            _ => current == Some(&member),
         };
         if unchanged {
             return None;
         }
-        let before = match member.phase {
+        let previous = match member.phase {
             Phase::Deleted => self.members.remove(&member.id),
             _ => self.members.insert(member.id.clone(), member.clone()),
         };
-        if let Some(part) = before.as_ref().and_then(|b| self.services.get_mut(&b.service)) {
-            part.members.remove(&member.id);
+        if let Some(index) = previous.as_ref().and_then(|p| self.services.get_mut(&p.service)) {
+            index.members.remove(&member.id);
         }
         if member.phase != Phase::Deleted {
-            self.part(&member.service).members.insert(member.id.clone());
+            self.service_index(&member.service).members.insert(member.id.clone());
         }
         self.revision += 1;
-        let left = before.map(|b| b.service).filter(|service| *service != member.service);
-        self.record(Change { revision: self.revision, member, left });
+        let left = previous.map(|p| p.service).filter(|service| *service != member.service);
+        self.push_change(Change { revision: self.revision, member, left });
         while self.history.len() > self.keep {
-            self.forget();
+            self.drop_oldest_change();
         }
         Some(self.revision)
     }
 
-    fn part(&mut self, service: &str) -> &mut Part {
+    fn service_index(&mut self, service: &str) -> &mut ServiceIndex {
         self.services.entry(service.to_owned()).or_default()
     }
 
-    /// Whether a member, or a change in the history, is in a service.
+    /// Whether any member, or any change in the history, is in a named service.
     pub fn in_services(&self) -> bool {
         self.services.keys().any(|name| !name.is_empty())
     }
 
-    /// Puts a change at the end of the history.
-    fn record(&mut self, change: Change) {
+    /// Appends a change to the history and indexes it.
+    fn push_change(&mut self, change: Change) {
         for service in change.services() {
-            self.part(service).changes.push_back(change.revision);
+            self.service_index(service).changes.push_back(change.revision);
         }
         self.history.push_back(change);
     }
 
-    /// Takes the oldest change out of the history.
-    fn forget(&mut self) {
+    /// Removes the oldest change from the history and the index.
+    fn drop_oldest_change(&mut self) {
         let Some(change) = self.history.pop_front() else { return };
         for service in change.services() {
-            let Some(part) = self.services.get_mut(service) else { continue };
-            part.changes.pop_front();
-            if part.members.is_empty() && part.changes.is_empty() {
+            let Some(index) = self.services.get_mut(service) else { continue };
+            index.changes.pop_front();
+            if index.members.is_empty() && index.changes.is_empty() {
                 self.services.remove(service);
             }
         }
     }
 
-    /// Entries looked at so far to tell lists and changes.
-    pub fn looked(&self) -> u64 {
-        self.looked.get()
+    /// Number of entries read so far to build full lists and changes.
+    pub fn entries_read(&self) -> u64 {
+        self.entries_read.get()
     }
 
-    fn look(&self, entries: usize) {
-        self.looked.set(self.looked.get() + entries as u64);
+    fn count_read(&self, entries: usize) {
+        self.entries_read.set(self.entries_read.get() + entries as u64);
     }
 
-    /// The parts of the services that a filter names.
-    fn parts(&self, names: &BTreeSet<String>) -> impl Iterator<Item = &Part> {
+    /// Indexes of the named services that exist.
+    fn service_indexes(&self, names: &BTreeSet<String>) -> impl Iterator<Item = &ServiceIndex> {
         names.iter().filter_map(|name| self.services.get(name))
     }
 
-    /// The whole list as the filter takes it, `complete`.
-    pub fn whole(&self, filter: &Filter) -> Message {
+    /// The full list of the members that match the filter, marked `complete`.
+    pub fn full_list(&self, filter: &Filter) -> Message {
         let members: Vec<Member> = match filter.names() {
             None => self.members.values().cloned().collect(),
             Some(names) => {
-                let ids = self.parts(names).flat_map(|part| &part.members);
+                let ids = self.service_indexes(names).flat_map(|index| &index.members);
                 ids.filter_map(|id| self.members.get(id)).cloned().collect()
             }
         };
-        self.look(members.len());
+        self.count_read(members.len());
         Message { revision: self.revision, complete: true, members }
     }
 
-    /// The last revision up to `index` in which an entry that the filter takes was changed or left it; where the
-    /// history covers none, the oldest that it does.
+    /// The last revision up to `index` in which an entry that matches the filter changed, or stopped matching it. If
+    /// the history has no such change, its oldest revision (or `index`, if lower).
     pub fn last_change(&self, index: u64, filter: &Filter) -> u64 {
         let index = index.min(self.revision);
         let Some(names) = filter.names() else { return index };
-        let last = |part: &Part| {
-            let after = part.changes.partition_point(|revision| *revision <= index);
-            part.changes.get(after.checked_sub(1)?).copied()
+        let last = |service: &ServiceIndex| {
+            let after = service.changes.partition_point(|revision| *revision <= index);
+            service.changes.get(after.checked_sub(1)?).copied()
         };
-        self.parts(names).filter_map(last).max().unwrap_or(self.oldest().min(index))
+        self.service_indexes(names).filter_map(last).max().unwrap_or(self.oldest().min(index))
     }
 
-    /// The entry of this id.
+    /// The entry with this id, if there is one.
     pub fn member(&self, id: &str) -> Option<&Member> {
         self.members.get(id)
     }
 
-    /// What a watch that holds `index` is told first. Of other services' changes a filter takes the revision alone.
-    pub fn since(&self, index: u64, filter: &Filter) -> Since {
+    /// What to send first to a watch that has revision `index`. Changes of services outside the filter only advance the
+    /// revision.
+    pub fn changes_since(&self, index: u64, filter: &Filter) -> ChangesSince {
         if index == self.revision {
-            return Since::Current;
+            return ChangesSince::Current;
         }
         if index > self.revision {
-            return Since::Ahead;
+            return ChangesSince::Ahead;
         }
         if index < self.oldest() {
-            return Since::Whole(self.whole(filter));
+            return ChangesSince::FullList(self.full_list(filter));
         }
-        // One entry a revision: what comes after `index` is the end of the history.
+        // The history has one change per revision, so the changes after `index` are its tail.
         let at = |revision: u64| (revision - self.oldest()) as usize;
         let mut changes: Vec<&Change> = match filter.names() {
             None => self.history.range(at(index)..).collect(),
             Some(names) => {
-                let after = |part: &Part| {
-                    let after = part.changes.partition_point(|revision| *revision <= index);
-                    part.changes.range(after..).copied().collect::<Vec<_>>()
+                let after = |service: &ServiceIndex| {
+                    let after = service.changes.partition_point(|revision| *revision <= index);
+                    service.changes.range(after..).copied().collect::<Vec<_>>()
                 };
-                let revisions = self.parts(names).flat_map(after);
+                let revisions = self.service_indexes(names).flat_map(after);
                 revisions.map(|revision| &self.history[at(revision) - 1]).collect()
             }
         };
-        self.look(changes.len());
+        self.count_read(changes.len());
         changes.sort_unstable_by_key(|change| change.revision);
         let changed: BTreeMap<&str, &Change> =
             changes.into_iter().map(|change| (change.member.id.as_str(), change)).collect();
-        let told = |change: &Change| match &change.left {
-            // To those who are not told of the service that it went to, it has gone.
-            Some(left) if !filter.takes(&change.member.service) => {
+        let as_seen = |change: &Change| match &change.left {
+            // The entry moved to a service outside the filter: it is sent as deleted.
+            Some(left) if !filter.matches(&change.member.service) => {
                 Member { phase: Phase::Deleted, service: left.clone(), ..change.member.clone() }
             }
             _ => change.member.clone(),
         };
-        let members = changed.into_values().map(told).collect();
-        Since::Changes(Message { revision: self.revision, complete: false, members })
+        let members = changed.into_values().map(as_seen).collect();
+        ChangesSince::Changes(Message { revision: self.revision, complete: false, members })
     }
 
-    /// The list to be kept, where no entry of it or of its history was ever in a service.
+    /// Snapshot form without services; `None` if any member or change in the history is in a service.
     pub fn v1(&self) -> Option<StoreV1> {
         let members = self.members.values().map(MemberV1::of);
         let members = self.members.keys().cloned().zip(members);
@@ -284,7 +285,7 @@
         Some(StoreV1 { revision: self.revision, members, history, keep: self.keep })
     }
 
-    /// The list to be kept.
+    /// Snapshot form with services.
     pub fn v2(&self) -> StoreV2 {
         let members = self.members.values().cloned().collect();
         let history = self.history.iter().cloned().collect();
@@ -293,30 +294,30 @@
 }
 
 impl From<StoreV1> for Store {
-    fn from(kept: StoreV1) -> Self {
+    fn from(stored: StoreV1) -> Self {
         let change = |(revision, member): (u64, MemberV1)| Change {
             revision,
             member: member.into(),
             left: None,
         };
         StoreV2 {
-            revision: kept.revision,
-            members: kept.members.into_values().map(Member::from).collect(),
-            history: kept.history.into_iter().map(change).collect(),
-            keep: kept.keep,
+            revision: stored.revision,
+            members: stored.members.into_values().map(Member::from).collect(),
+            history: stored.history.into_iter().map(change).collect(),
+            keep: stored.keep,
         }
         .into()
     }
 }
 
 impl From<StoreV2> for Store {
-    fn from(kept: StoreV2) -> Self {
-        let mut store = Self::new(kept.revision, kept.keep);
-        for member in kept.members {
-            store.part(&member.service).members.insert(member.id.clone());
+    fn from(stored: StoreV2) -> Self {
+        let mut store = Self::new(stored.revision, stored.keep);
+        for member in stored.members {
+            store.service_index(&member.service).members.insert(member.id.clone());
             store.members.insert(member.id.clone(), member);
         }
-        kept.history.into_iter().for_each(|change| store.record(change));
+        stored.history.into_iter().for_each(|change| store.push_change(change));
         store
     }
 }
--- a/src/replica/command.rs
+++ b/src/replica/command.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::discovery::kept::MemberV1;
 use crate::discovery::member::{Member, Phase};
+use crate::discovery::stored_format::MemberV1;
 use crate::lease::table::{Grant, LeaseCommand, Refusal, Token};
 
 /// The duty and token under which a write is made. The write is refused unless the token is that of the live
@@ -73,7 +73,7 @@
 
 /// The encoding of a command on disk and between instances. A variant is encoded as its position, so new
 /// variants must come last. A version that doesn't know a position refuses the entry
-/// ([`crate::discovery::kept`]).
+/// ([`crate::discovery::stored_format`]).
 #[derive(Clone, Serialize, Deserialize)]
 enum Form {
     SeedV1 { revision: u64, members: Vec<MemberV1> },
--- a/src/replica/host.rs
+++ b/src/replica/host.rs
@@ -36,7 +36,7 @@
 /// Bytes of log reserved for Raft's own records, so that an instance whose log is full can still vote.
 const CONSENSUS_RESERVE_BYTES: u64 = 8 << 10;
 
-/// The answer to peers' messages: the formats that this instance can read ([`crate::discovery::kept`]).
+/// The answer to peers' messages: the formats that this instance can read ([`crate::discovery::stored_format`]).
 /// Versions without services answer `{}`.
 pub const FORMS: &str = "{\"forms\":2}";
 
--- a/src/replica/machine.rs
+++ b/src/replica/machine.rs
@@ -31,7 +31,7 @@
 
 /// The encoding of the state in a snapshot. In the first format the first byte was `seeded`, so the first two
 /// variants have the numbers of `false` and `true`. A version that doesn't know the third variant refuses it
-/// ([`crate::discovery::kept`]).
+/// ([`crate::discovery::stored_format`]).
 #[derive(Serialize, Deserialize)]
 enum Form {
     UnseededV1(State<StoreV1>),
