--- a/src/replica/core/tests.rs
+++ b/src/replica/core/tests.rs
@@ -59,9 +59,8 @@
 /// Delivers the messages for which `delivered` returns true, until no instance sends any more.
 fn deliver(all: &mut [Replica], mut delivered: impl FnMut(&Message) -> bool) {
     loop {
-        let process_ready = |r: &mut Replica| {
-            r.process_ready(Duration::ZERO, persist).expect("processed").messages
-        };
+        let process_ready =
+            |r: &mut Replica| r.process_ready(Duration::ZERO, persist).expect("processed").messages;
         let sent: Vec<Message> = all.iter_mut().flat_map(process_ready).collect();
         if sent.is_empty() {
             return;
--- a/src/replica/machine.rs
+++ b/src/replica/machine.rs
@@ -152,9 +152,9 @@
             }
             Command::Lapse { id } => {
                 let Some(session) = self.sessions.get_mut(&id) else { return Outcome::Unknown };
-                let draining = self.list.member(&id).is_some_and(|m| m.phase == Phase::Draining);
+                let drains = self.list.member(&id).is_some_and(|m| m.phase == Phase::Draining);
                 session.lapsed = true;
-                return self.set_phase(&id, if draining { Phase::Deleted } else { Phase::Draining });
+                return self.set_phase(&id, if drains { Phase::Deleted } else { Phase::Draining });
             }
             Command::Revive { id } => {
                 let Some(session) = self.sessions.get_mut(&id) else { return Outcome::Unknown };
--- a/src/roles/mod.rs
+++ b/src/roles/mod.rs
@@ -298,7 +298,8 @@
         let state = state.map_err(|e| e.to_string())?;
         return Ok(format!("{files}; release state {state:?}"));
     }
-    let kept = RaftStorage::restore(vec![], snapshot.as_deref(), &records).map_err(|e| e.to_string())?;
+    let kept =
+        RaftStorage::restore(vec![], snapshot.as_deref(), &records).map_err(|e| e.to_string())?;
     let state = kept.hard_state();
     let (applied, machine) = kept.state();
     let machine = (applied > 0).then(|| postcard::from_bytes::<Machine>(machine)).transpose();
--- a/tests/schedules.rs
+++ b/tests/schedules.rs
@@ -141,7 +141,8 @@
     fn boot(&mut self, i: usize) {
         let voters = (1..=self.instances.len() as u64).collect();
         let at = &mut self.instances[i];
-        let kept = RaftStorage::restore(voters, at.whole.as_deref(), &at.disk).expect("its own records");
+        let kept =
+            RaftStorage::restore(voters, at.whole.as_deref(), &at.disk).expect("its own records");
         self.next += 1;
         let again = Duration::from_millis(100);
         let replica = Replica::new::<Infallible>(i as u64 + 1, kept, 64, self.next, again);
