--- a/src/bin/hollowpaddle/clients.rs
+++ b/src/bin/hollowpaddle/clients.rs
@@ -114,7 +114,7 @@
             () = self.accept(&listener) => {}
             () = stop => {}
         }
-        self.engine.ending(self.engine.arrived() + self.time_to_end());
+        self.engine.shut_down_by(self.engine.earliest_arrival() + self.time_to_end());
         // New connections still find us for a moment; where a newer process listens too, they are led to that one.
         // From here each answer asks its client to go elsewhere.
         let mut ending = registration.end();
@@ -243,7 +243,7 @@
         tokio::pin!(connection);
         let timed_out = client.timed_out(socket, || self.room(), &self.crowd);
         let abandoned = client.abandoned(socket);
-        let time_to_close = self.lifecycle.time_to_close();
+        let time_to_close = self.lifecycle.wait_for_idle_close();
         tokio::pin!(timed_out, abandoned, time_to_close);
         let mut closing = false;
         loop {
@@ -258,7 +258,7 @@
                 () = &mut time_to_close, if !closing => {
                     if permit::close(&client.owed(socket)).is_err() {
                         // Its answer tells the client to go; closed now, hyper would forget what has come of it.
-                        time_to_close.set(self.lifecycle.time_to_close());
+                        time_to_close.set(self.lifecycle.wait_for_idle_close());
                     } else {
                         connection.as_mut().graceful_shutdown();
                         closing = true;
@@ -341,14 +341,19 @@
             return bare(StatusCode::BAD_REQUEST);
         }
         // The request's time runs from its last byte; while more is to come, that is still ahead.
-        let arrival =
-            match arrival(place, service, &head, &kept, guard.arrived(self.engine.arrived())) {
-                Ok(arrival) => arrival,
-                Err(what) => {
-                    drain(body, guard);
-                    return malformed(what);
-                }
-            };
+        let arrival = match arrival(
+            place,
+            service,
+            &head,
+            &kept,
+            guard.arrived(self.engine.earliest_arrival()),
+        ) {
+            Ok(arrival) => arrival,
+            Err(what) => {
+                drain(body, guard);
+                return malformed(what);
+            }
+        };
         let rest = (!body.is_whole()).then(|| body.clone());
         let class = arrival.class;
         let taken = OnceCell::new();
@@ -367,7 +372,7 @@
             until: Cell::new(arrival.until),
             client,
         };
-        let reply = match self.engine.ask(arrival, forward, &take).await {
+        let reply = match self.engine.submit(arrival, forward, &take).await {
             Ok(reply) => reply,
             Err(why) => return broken(why, &id),
         };
--- a/src/bin/hollowpaddle/config.rs
+++ b/src/bin/hollowpaddle/config.rs
@@ -14,7 +14,7 @@
 
 /// Descriptors that are neither a client's nor an upstream's: standard streams, the event queue, the
 /// listeners, the watch, signals; and the calls of operators.
-const RESERVED: usize = 24 + management::SHARE;
+const RESERVED: usize = 24 + management::MAX_CONNECTIONS;
 /// Where the platform states no limit.
 const SOCKETS: usize = 1024;
 const MEMORY_MB: f64 = 192.0;
--- a/src/bin/hollowpaddle/engine.rs
+++ b/src/bin/hollowpaddle/engine.rs
@@ -30,23 +30,23 @@
 use crate::config::Config;
 use crate::guard::AttemptGuard;
 use crate::lateness::Lateness;
-use crate::upstreams::{Ended, Forward, Pool};
-use handle::Note;
+use crate::upstreams::{AttemptResult, Forward, Pool};
+use handle::EngineMessage;
 pub use handle::{Arrival, Handle, Reply};
 use upstream_table::UpstreamTable;
 
 /// The module works to this much less than the client's deadline, so that an answer at the deadline still
 /// arrives: the way to the client, and a busy moment here. Of a short time it is a quarter.
-const HEADROOM: Duration = Duration::from_millis(15);
-const HEADROOM_OF: u32 = 4;
+const MAX_HEADROOM: Duration = Duration::from_millis(15);
+const HEADROOM_DIVISOR: u32 = 4;
 /// At this part of that the engine answers itself, should the module still owe one.
-const BACKSTOP_OF: u32 = 3;
+const BACKSTOP_DIVISOR: u32 = 3;
 
 /// A process that stood still for more than this part of the grace of a drain reads its news first.
-const STALL_OF_GRACE: u32 = 4;
+const STALL_GRACE_DIVISOR: u32 = 4;
 
 /// Where services may rest, a timer fires so often all the same: else nothing would tell that the process stood still.
-const AWAKE_EVERY: Duration = Duration::from_millis(100);
+const STALL_TIMER_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What is asked of the list service: the members of the services that there are, or all.
 fn filter(catalog: &Catalog) -> Filter {
@@ -54,74 +54,76 @@
 }
 
 /// The services with the names of their classes, for figures.
-pub fn named(catalog: &Catalog) -> impl Iterator<Item = (&str, impl Iterator<Item = &str>)> {
-    let named = |s| {
+pub fn service_classes(
+    catalog: &Catalog,
+) -> impl Iterator<Item = (&str, impl Iterator<Item = &str>)> {
+    let names = |s| {
         let Service { name, facts, .. }: &Service = s;
         (name.as_str(), facts.classes.iter().map(|c| c.name.as_str()))
     };
-    catalog.services.iter().map(named)
+    catalog.services.iter().map(names)
 }
 
 /// How much earlier than this the module has to be done with a request that comes now.
 fn headroom(until: Instant, now: Instant) -> Duration {
-    HEADROOM.min(until.saturating_duration_since(now) / HEADROOM_OF)
+    MAX_HEADROOM.min(until.saturating_duration_since(now) / HEADROOM_DIVISOR)
 }
 
 /// When the engine answers, should the module still owe one that has this much headroom.
 fn backstop(until: Instant, headroom: Duration) -> Instant {
-    until - headroom / BACKSTOP_OF
+    until - headroom / BACKSTOP_DIVISOR
 }
 
 /// A request that is owed an answer, or has attempts out.
-struct Held {
+struct PendingRequest {
     service: ServiceId,
     forward: Rc<Forward>,
     /// Taken by the final answer.
     reply: Option<oneshot::Sender<Reply>>,
     /// Read by attempts right before they go on the wire.
-    live: Rc<Cell<bool>>,
-    until: Instant,
+    unanswered: Rc<Cell<bool>>,
+    policy_deadline: Instant,
     /// While its body is still coming: the time it has from the last byte on.
-    coming: Option<Duration>,
-    attempts: Vec<Try>,
-    last: Option<Outcome>,
+    time_after_body: Option<Duration>,
+    attempts: Vec<Attempt>,
+    last_outcome: Option<Outcome>,
 }
 
-struct Try {
+struct Attempt {
     server: ServerId,
-    sent: Instant,
+    sent_at: Instant,
     /// Present while it is out; dropping it closes its connection.
     task: Option<AbortOnDrop>,
 }
 
-impl Held {
-    fn out(&self) -> usize {
+impl PendingRequest {
+    fn in_flight(&self) -> usize {
         self.attempts.iter().filter(|a| a.task.is_some()).count()
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Token(ServiceId, u64),
+enum TimerKind {
+    Policy(ServiceId, u64),
     /// Nothing but a sign of life.
-    Awake,
+    StallCheck,
     Deadline(RequestId),
 }
 
 /// An event of the engine's own making, told once the present actions are carried out.
-type Later = (RequestId, usize, Ended);
+type DeferredEnd = (RequestId, usize, AttemptResult);
 
 pub struct Engine {
     services: Services,
     clock: Clock,
-    notes: mpsc::UnboundedReceiver<Note>,
+    messages: mpsc::UnboundedReceiver<EngineMessage>,
     /// Of the list; these come before all notes.
-    news: mpsc::UnboundedReceiver<News>,
-    own_notes: mpsc::UnboundedSender<Note>,
-    requests: FxHashMap<RequestId, Held>,
-    timers: BinaryHeap<Reverse<(Instant, Due)>>,
+    list_updates: mpsc::UnboundedReceiver<News>,
+    message_sender: mpsc::UnboundedSender<EngineMessage>,
+    requests: FxHashMap<RequestId, PendingRequest>,
+    timers: BinaryHeap<Reverse<(Instant, TimerKind)>>,
     actions: Vec<Action>,
-    later: VecDeque<Later>,
+    deferred_ends: VecDeque<DeferredEnd>,
     pool: Rc<Pool>,
     upstreams: UpstreamTable,
     ready: Rc<Cell<bool>>,
@@ -129,7 +131,7 @@
     figures: Rc<Figures>,
     keeper: Option<Keeper>,
     /// Once the process ends: no answer may be later.
-    ending: Option<Instant>,
+    shutdown_deadline: Option<Instant>,
     /// To the client of the list.
     orders: mpsc::UnboundedSender<Order>,
     lateness: Rc<Lateness>,
@@ -180,12 +182,12 @@
         let clock = Clock::new();
         let settings = config.facts.settings();
         let services = Services::new(config.catalog.clone(), config.seed, clock.now())?;
-        let (own_notes, notes) = mpsc::unbounded_channel();
+        let (message_sender, messages) = mpsc::unbounded_channel();
         let ready = Rc::new(Cell::new(false));
         let routing = Rc::new(RefCell::new(services.routing()));
         let lateness = Rc::new(Lateness::default());
         let handle = Handle {
-            notes: own_notes.clone(),
+            messages: message_sender.clone(),
             next: Rc::default(),
             ready: ready.clone(),
             routing: routing.clone(),
@@ -193,45 +195,46 @@
         };
         let second_copies = settings.limits.second_copies;
         let max_attempts = settings.limits.max_attempts;
-        let kept = keeper.as_ref().map(Keeper::list).filter(|l| l.revision > config.known.revision);
-        let mut known = kept.unwrap_or(&config.known).clone();
+        let cached =
+            keeper.as_ref().map(Keeper::list).filter(|l| l.revision > config.known.revision);
+        let mut known = cached.unwrap_or(&config.known).clone();
         let narrowed = config.catalog.narrow(&mut known);
         // What is kept from now on are changes to the list that is held.
-        if let (true, Some(keeper)) = (kept.is_none() || narrowed.changed, &keeper) {
+        if let (true, Some(keeper)) = (cached.is_none() || narrowed.changed, &keeper) {
             keeper.keep(known.clone());
         }
         let grace = Duration::from_micros(settings.rules.drain_grace.0.max(0) as u64);
         let mode = if settings.must_ask { Mode::Asked } else { Mode::Pushed { grace } };
         let follow = Follow::new(config.discovery.clone(), mode, known.revision, Instant::now());
         let follow = if narrowed.whole { follow } else { follow.asking_whole() };
-        let (orders, ordered) = mpsc::unbounded_channel();
-        let (tell, news) = mpsc::unbounded_channel();
-        let tell = move |news| drop(tell.send(news));
+        let (orders, order_receiver) = mpsc::unbounded_channel();
+        let (send_update, list_updates) = mpsc::unbounded_channel();
+        let send_update = move |update| drop(send_update.send(update));
         let filter = filter(&services.routing().catalog);
-        let client = client::run(follow, filter, client::connect, ordered, tell);
-        let mut stall = grace / STALL_OF_GRACE;
+        let client = client::run(follow, filter, client::connect, order_receiver, send_update);
+        let mut stall = grace / STALL_GRACE_DIVISOR;
         let mut timers = BinaryHeap::new();
         if !services.routing().catalog.is_single() {
-            stall = stall.saturating_sub(AWAKE_EVERY);
-            timers.push(Reverse((Instant::now() + AWAKE_EVERY, Due::Awake)));
+            stall = stall.saturating_sub(STALL_TIMER_INTERVAL);
+            timers.push(Reverse((Instant::now() + STALL_TIMER_INTERVAL, TimerKind::StallCheck)));
         }
         let mut engine = Self {
             services,
             clock,
-            notes,
-            news,
-            own_notes,
+            messages,
+            list_updates,
+            message_sender,
             requests: FxHashMap::default(),
             timers,
             actions: Vec::new(),
-            later: VecDeque::new(),
+            deferred_ends: VecDeque::new(),
             pool,
             upstreams: UpstreamTable::default(),
             ready,
             routing,
             figures,
             keeper,
-            ending: None,
+            shutdown_deadline: None,
             orders,
             lateness,
             stall,
@@ -239,103 +242,114 @@
             second_copies,
             max_attempts,
         };
-        engine.listed(&known, ListKind::Restored);
+        engine.apply_list(&known, ListKind::Restored);
         Ok((engine, handle))
     }
 
     pub async fn run(mut self) {
         loop {
             let due = self.timers.peek().map(|Reverse((at, _))| *at);
-            self.lateness.expect(due);
+            self.lateness.set_next_timer(due);
             let sleep = async {
                 match due {
                     Some(at) => sleep_until(at).await,
                     None => std::future::pending().await,
                 }
             };
-            let note = tokio::select! {
+            let message = tokio::select! {
                 biased;
-                Some(news) = self.news.recv() => {
-                    self.heard(news);
+                Some(update) = self.list_updates.recv() => {
+                    self.on_list_update(update);
                     continue;
                 }
-                note = self.notes.recv() => match note {
-                    Some(note) => Some(note),
+                message = self.messages.recv() => match message {
+                    Some(message) => Some(message),
                     None => return,
                 },
                 () = sleep => None,
             };
-            self.lateness.woke(Instant::now());
+            self.lateness.record_wakeup(Instant::now());
             if let Some(late) = due.map(|due| due.elapsed()).filter(|late| *late > self.stall) {
                 tracing::warn!(?late, "the process stood still");
                 // What it was told meanwhile holds, though it may come behind what it is asked.
                 settle(|| false).await;
-                while let Ok(news) = self.news.try_recv() {
-                    self.heard(news);
+                while let Ok(update) = self.list_updates.try_recv() {
+                    self.on_list_update(update);
                 }
             }
-            if let Some(note) = note {
-                self.take(note);
+            if let Some(message) = message {
+                self.on_message(message);
             }
-            self.fire();
+            self.fire_timers();
         }
     }
 
-    fn fire(&mut self) {
+    fn fire_timers(&mut self) {
         let now = Instant::now();
-        while let Some(Reverse((at, due))) = self.timers.peek().copied() {
+        while let Some(Reverse((at, kind))) = self.timers.peek().copied() {
             if at > now {
                 return;
             }
             self.timers.pop();
-            match due {
-                Due::Token(service, token) => self.tell(service, Event::Timer(token)),
-                Due::Awake => self.timers.push(Reverse((now + AWAKE_EVERY, Due::Awake))),
-                Due::Deadline(id) => self.overdue(id),
+            match kind {
+                TimerKind::Policy(service, token) => {
+                    self.notify_policy(service, Event::Timer(token))
+                }
+                TimerKind::StallCheck => {
+                    self.timers.push(Reverse((now + STALL_TIMER_INTERVAL, TimerKind::StallCheck)))
+                }
+                TimerKind::Deadline(id) => self.on_deadline(id),
             }
         }
     }
 
-    fn take(&mut self, note: Note) {
-        match note {
-            Note::Arrived { id, arrival, forward, reply } => {
-                self.arrived(id, arrival, forward, reply);
+    fn on_message(&mut self, message: EngineMessage) {
+        match message {
+            EngineMessage::Arrived { id, arrival, forward, reply } => {
+                self.on_request(id, arrival, forward, reply);
             }
-            Note::Left(id) => {
-                self.left(id);
-                self.catch_up();
-                self.forget(id);
+            EngineMessage::Left(id) => {
+                self.on_client_left(id);
+                self.process_deferred_ends();
+                self.remove_if_done(id);
             }
-            Note::Whole(id) => self.whole(id),
-            Note::Ended { id, attempt, ended } => {
-                self.ended(id, attempt, ended);
-                self.catch_up();
+            EngineMessage::BodyComplete(id) => self.on_body_complete(id),
+            EngineMessage::AttemptEnded { id, attempt, result } => {
+                self.on_attempt_ended(id, attempt, result);
+                self.process_deferred_ends();
             }
             // At once: the old address soon ends its watch, and what is missed meanwhile counts as told.
-            Note::DiscoveryMoved(addresses) => self.order(Order::Moved(addresses)),
-            Note::Reload(catalog) => self.reload(catalog),
-            Note::Ending(by) => {
-                self.ending = Some(by);
-                let held = self.requests.keys().map(|id| Reverse((by, Due::Deadline(*id))));
-                self.timers.extend(held);
+            EngineMessage::DiscoveryMoved(addresses) => self.send_order(Order::Moved(addresses)),
+            EngineMessage::Reload(catalog) => self.reload(catalog),
+            EngineMessage::Shutdown(by) => {
+                self.shutdown_deadline = Some(by);
+                let pending =
+                    self.requests.keys().map(|id| Reverse((by, TimerKind::Deadline(*id))));
+                self.timers.extend(pending);
             }
-            Note::Pool(reply) => {
+            EngineMessage::UpstreamCounts(reply) => {
                 let _ = reply.send(self.services.pool(self.clock.now()));
             }
         }
     }
 
-    fn heard(&mut self, news: News) {
-        match news {
+    fn on_list_update(&mut self, update: News) {
+        match update {
             News::Told(list) => {
-                self.listed(&list, if list.complete { ListKind::Whole } else { ListKind::Update });
+                self.apply_list(
+                    &list,
+                    if list.complete { ListKind::Whole } else { ListKind::Update },
+                );
                 if let Some(keeper) = &self.keeper {
                     keeper.keep(list);
                 }
             }
             News::Lost => {
                 for service in self.services.ids() {
-                    self.tell(service, Event::Members { kind: ListKind::Unavailable, list: &[] });
+                    self.notify_policy(
+                        service,
+                        Event::Members { kind: ListKind::Unavailable, list: &[] },
+                    );
                 }
             }
         }
@@ -359,66 +373,69 @@
         };
         let (added, removed) = (reloaded.added, reloaded.removed.len());
         tracing::info!(added, removed, "other services and routes are in force");
-        for (name, classes) in named(&reloaded.routing.catalog) {
+        for (name, classes) in service_classes(&reloaded.routing.catalog) {
             self.figures.serve(name, classes);
         }
         if added + removed > 0 {
-            self.order(Order::Filter(filter(&reloaded.routing.catalog)));
+            self.send_order(Order::Filter(filter(&reloaded.routing.catalog)));
         }
         self.routing.replace(reloaded.routing);
-        self.changed(&reloaded.changes);
+        self.apply_changes(&reloaded.changes);
         for service in reloaded.removed {
-            self.tell(service, Event::Members { kind: ListKind::Whole, list: &[] });
-            let waits = |h: &Held| h.service == service && h.reply.is_some() && h.out() == 0;
-            let held = self.requests.iter().filter(|(_, h)| waits(h));
-            let waiting: Vec<RequestId> = held.map(|(id, _)| *id).collect();
+            self.notify_policy(service, Event::Members { kind: ListKind::Whole, list: &[] });
+            let waits = |r: &PendingRequest| {
+                r.service == service && r.reply.is_some() && r.in_flight() == 0
+            };
+            let pending = self.requests.iter().filter(|(_, r)| waits(r));
+            let waiting: Vec<RequestId> = pending.map(|(id, _)| *id).collect();
             for id in waiting {
                 self.give_up(id);
-                self.forget(id);
+                self.remove_if_done(id);
             }
         }
     }
 
-    fn order(&self, order: Order) {
+    fn send_order(&self, order: Order) {
         // Its client lives as long as the engine.
         let _ = self.orders.send(order);
     }
 
-    fn arrived(
+    fn on_request(
         &mut self,
         id: RequestId,
         arrival: Arrival,
         forward: Box<Forward>,
         reply: oneshot::Sender<Reply>,
     ) {
-        let latest = self.latest(arrival.until);
-        forward.until.set(latest);
+        let client_deadline = self.client_deadline(arrival.until);
+        forward.until.set(client_deadline);
         let now = Instant::now();
-        let room = headroom(latest, now);
-        let until = latest - room;
-        let whole = forward.body.rest.as_ref().is_none_or(|r| r.is_whole());
-        let coming = (!whole).then(|| arrival.until.saturating_duration_since(now));
+        let room = headroom(client_deadline, now);
+        let policy_deadline = client_deadline - room;
+        let complete = forward.body.rest.as_ref().is_none_or(|r| r.is_whole());
+        let time_after_body = (!complete).then(|| arrival.until.saturating_duration_since(now));
         let service = arrival.service;
-        let held = Held {
+        let pending = PendingRequest {
             service,
             forward: Rc::from(forward),
             reply: Some(reply),
-            live: Rc::new(Cell::new(true)),
-            until,
-            coming,
+            unanswered: Rc::new(Cell::new(true)),
+            policy_deadline,
+            time_after_body,
             attempts: Vec::new(),
-            last: None,
+            last_outcome: None,
         };
-        self.requests.insert(id, held);
+        self.requests.insert(id, pending);
         self.services.opened(service);
         if !self.services.serves(service) {
             // It was routed a moment before its service was removed.
             self.give_up(id);
-            return self.forget(id);
+            return self.remove_if_done(id);
         }
-        let deadline = if coming.is_none() { Some(latest) } else { self.ending };
+        let deadline =
+            if time_after_body.is_none() { Some(client_deadline) } else { self.shutdown_deadline };
         if let Some(at) = deadline {
-            self.timers.push(Reverse((backstop(at, room), Due::Deadline(id))));
+            self.timers.push(Reverse((backstop(at, room), TimerKind::Deadline(id))));
         }
         let request = d::Request {
             class: arrival.class,
@@ -426,58 +443,58 @@
             key: arrival.key,
             cost_guess: arrival.cost_guess,
             resent: arrival.resent,
-            coming: coming.is_some(),
-            ..d::Request::new(id, arrival.class, self.clock.at(until))
+            coming: time_after_body.is_some(),
+            ..d::Request::new(id, arrival.class, self.clock.at(policy_deadline))
         };
-        self.tell(service, Event::Request(request));
+        self.notify_policy(service, Event::Request(request));
     }
 
     /// Its client has closed its connection: nothing more is begun for it.
-    fn left(&mut self, id: RequestId) {
-        let Some(held) = self.requests.get_mut(&id) else { return };
-        if held.reply.take().is_some() {
-            held.live.set(false);
-            tracing::debug!(request = held.forward.id(), "its client has left");
-            let service = held.service;
-            self.handle(service, Event::Left(id));
+    fn on_client_left(&mut self, id: RequestId) {
+        let Some(pending) = self.requests.get_mut(&id) else { return };
+        if pending.reply.take().is_some() {
+            pending.unanswered.set(false);
+            tracing::debug!(request = pending.forward.id(), "its client has left");
+            let service = pending.service;
+            self.run_policy(service, Event::Left(id));
         }
     }
 
     /// The last byte of its body has come: its time runs from here.
-    fn whole(&mut self, id: RequestId) {
-        let Some(held) = self.requests.get_mut(&id) else { return };
-        let Some(time) = held.coming.take() else { return };
+    fn on_body_complete(&mut self, id: RequestId) {
+        let Some(pending) = self.requests.get_mut(&id) else { return };
+        let Some(time) = pending.time_after_body.take() else { return };
         let now = Instant::now();
-        let until = self.lateness.arrived(now) + time;
-        let latest = self.ending.map_or(until, |by| by.min(until));
-        let room = headroom(latest, now);
-        held.until = latest - room;
-        held.forward.until.set(latest);
-        held.attempts.iter_mut().filter(|a| a.task.is_some()).for_each(|a| a.sent = now);
-        self.timers.push(Reverse((backstop(latest, room), Due::Deadline(id))));
-        let service = held.service;
-        self.tell(service, Event::Whole(id));
+        let until = self.lateness.earliest_arrival(now) + time;
+        let client_deadline = self.shutdown_deadline.map_or(until, |by| by.min(until));
+        let room = headroom(client_deadline, now);
+        pending.policy_deadline = client_deadline - room;
+        pending.forward.until.set(client_deadline);
+        pending.attempts.iter_mut().filter(|a| a.task.is_some()).for_each(|a| a.sent_at = now);
+        self.timers.push(Reverse((backstop(client_deadline, room), TimerKind::Deadline(id))));
+        let service = pending.service;
+        self.notify_policy(service, Event::Whole(id));
     }
 
     /// When a client that waits until then has to be answered.
-    fn latest(&self, until: Instant) -> Instant {
-        self.ending.map_or(until, |by| by.min(until))
+    fn client_deadline(&self, until: Instant) -> Instant {
+        self.shutdown_deadline.map_or(until, |by| by.min(until))
     }
 
     /// Guards against a request that the module still owes its answer when the client, or the platform, is about
     /// to give up.
-    fn overdue(&mut self, id: RequestId) {
+    fn on_deadline(&mut self, id: RequestId) {
         if self.give_up(id) {
-            let request = self.requests.get(&id).and_then(|h| h.forward.id());
+            let request = self.requests.get(&id).and_then(|r| r.forward.id());
             tracing::warn!(request, "answered at the deadline");
         }
-        self.forget(id);
+        self.remove_if_done(id);
     }
 
     /// Answers a request here that the module still owes its answer; false where it has one.
     fn give_up(&mut self, id: RequestId) -> bool {
-        let Some(held) = self.requests.get(&id) else { return false };
-        let (service, untried) = (held.service, held.attempts.is_empty());
+        let Some(pending) = self.requests.get(&id) else { return false };
+        let (service, untried) = (pending.service, pending.attempts.is_empty());
         let reply = if untried {
             Reply::Refused { retry_after: Span(0) }
         } else {
@@ -485,173 +502,188 @@
         };
         let given = self.answer(id, reply);
         if given {
-            self.tell(service, Event::Left(id));
+            self.notify_policy(service, Event::Left(id));
         }
         given
     }
 
     /// Gives the final answer, unless there was one.
     fn answer(&mut self, id: RequestId, reply: Reply) -> bool {
-        let Some(held) = self.requests.get_mut(&id) else { return false };
-        let Some(sender) = held.reply.take() else { return false };
-        held.live.set(false);
-        let attempts = held.attempts.len();
-        tracing::debug!(request = held.forward.id(), reply = reply.name(), attempts, "answered");
+        let Some(pending) = self.requests.get_mut(&id) else { return false };
+        let Some(sender) = pending.reply.take() else { return false };
+        pending.unanswered.set(false);
+        let attempts = pending.attempts.len();
+        tracing::debug!(request = pending.forward.id(), reply = reply.name(), attempts, "answered");
         let _ = sender.send(reply);
         true
     }
 
-    fn ended(&mut self, id: RequestId, attempt: usize, ended: Ended) {
-        if ended.denial == Some(Denial::ClientClosed) {
+    fn on_attempt_ended(&mut self, id: RequestId, attempt: usize, result: AttemptResult) {
+        if result.denial == Some(Denial::ClientClosed) {
             // Its connection's task has not come to read the close yet.
-            self.left(id);
+            self.on_client_left(id);
         }
-        let Some(held) = self.requests.get_mut(&id) else { return };
-        let Some(tried) = held.attempts.get_mut(attempt) else { return };
-        tried.task = None;
-        let (server, latency) = (tried.server, tried.sent.elapsed());
-        let (outcome, denial) = (ended.outcome, ended.denial);
-        let request = held.forward.id();
+        let Some(pending) = self.requests.get_mut(&id) else { return };
+        let Some(record) = pending.attempts.get_mut(attempt) else { return };
+        record.task = None;
+        let (server, latency) = (record.server, record.sent_at.elapsed());
+        let (outcome, denial) = (result.outcome, result.denial);
+        let request = pending.forward.id();
         tracing::debug!(request, attempt, ?server, ?outcome, ?denial, ?latency, "an attempt ended");
-        held.last = Some(ended.outcome);
+        pending.last_outcome = Some(result.outcome);
         if let Some(figures) = self.upstreams.figures(server) {
-            figures.ended(ended.outcome, latency);
+            figures.ended(result.outcome, latency);
         }
         // The first whole answer is the client's; one that comes after the end is dropped.
-        if let Some(response) = ended.response {
+        if let Some(response) = result.response {
             self.answer(id, Reply::Served(response));
         }
-        let held = self.requests.get(&id);
-        let service = held.map(|h| h.service);
-        let over = held.is_none_or(|h| h.reply.is_none());
-        let spent = held.is_some_and(|h| h.forward.body.is_spent());
+        let pending = self.requests.get(&id);
+        let service = pending.map(|r| r.service);
+        let over = pending.is_none_or(|r| r.reply.is_none());
+        let spent = pending.is_some_and(|r| r.forward.body.is_spent());
         let answer = d::Answer {
-            report: ended.report,
+            report: result.report,
             spent,
             ..d::Answer::new(
                 id,
                 attempt,
                 server,
-                ended.outcome,
+                result.outcome,
                 Span(latency.as_micros() as i64),
                 over,
             )
         };
         if let Some(service) = service {
-            self.handle(service, Event::Answered(answer));
+            self.run_policy(service, Event::Answered(answer));
         }
-        self.forget(id);
+        self.remove_if_done(id);
     }
 
     /// Drops a request that is answered and has nothing out.
-    fn forget(&mut self, id: RequestId) {
-        let over = |h: &Held| h.reply.is_none() && h.out() == 0;
+    fn remove_if_done(&mut self, id: RequestId) {
+        let over = |r: &PendingRequest| r.reply.is_none() && r.in_flight() == 0;
         if self.requests.get(&id).is_some_and(over)
-            && let Some(held) = self.requests.remove(&id)
+            && let Some(pending) = self.requests.remove(&id)
         {
-            self.services.closed(held.service);
+            self.services.closed(pending.service);
         }
     }
 
-    fn listed(&mut self, list: &List, kind: ListKind) {
+    fn apply_list(&mut self, list: &List, kind: ListKind) {
         self.services.clock_read(Clock::wall(), self.clock.now());
         let Notified { changes, members } = self.services.told(list, kind);
-        self.changed(&changes);
+        self.apply_changes(&changes);
         for (service, members) in members {
-            self.tell(service, Event::Members { kind, list: &members });
+            self.notify_policy(service, Event::Members { kind, list: &members });
         }
     }
 
-    fn changed(&mut self, changes: &[Change]) {
+    fn apply_changes(&mut self, changes: &[Change]) {
         for change in changes {
-            self.upstreams.change(change, &self.pool, &self.figures);
+            self.upstreams.apply(change, &self.pool, &self.figures);
         }
         self.ready.set(self.services.any_live());
     }
 
     /// Tells the module, and carries out what it says until nothing is left to tell.
-    fn tell(&mut self, service: ServiceId, event: Event) {
-        self.handle(service, event);
-        self.catch_up();
+    fn notify_policy(&mut self, service: ServiceId, event: Event) {
+        self.run_policy(service, event);
+        self.process_deferred_ends();
     }
 
-    fn catch_up(&mut self) {
-        while let Some((id, attempt, ended)) = self.later.pop_front() {
-            self.ended(id, attempt, ended);
+    fn process_deferred_ends(&mut self) {
+        while let Some((id, attempt, result)) = self.deferred_ends.pop_front() {
+            self.on_attempt_ended(id, attempt, result);
         }
     }
 
-    fn handle(&mut self, service: ServiceId, event: Event) {
+    fn run_policy(&mut self, service: ServiceId, event: Event) {
         self.services.handle(self.clock.now(), service, event, &mut self.actions);
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
-            self.carry_out(service, action);
+            self.execute(service, action);
         }
         self.actions = actions;
     }
 
-    fn carry_out(&mut self, service: ServiceId, action: Action) {
+    fn execute(&mut self, service: ServiceId, action: Action) {
         match action {
             Action::Send { request, server, timeout, before } => {
                 self.send(request, server, timeout, before);
             }
             Action::Refuse { request, retry_after } => {
                 self.answer(request, Reply::Refused { retry_after });
-                self.forget(request);
+                self.remove_if_done(request);
             }
             Action::Fail { request } => {
-                let last = self.requests.get(&request).and_then(|h| h.last);
-                self.answer(request, Reply::Failed { late: last == Some(Outcome::Timeout) });
-                self.forget(request);
+                let last_outcome = self.requests.get(&request).and_then(|r| r.last_outcome);
+                self.answer(
+                    request,
+                    Reply::Failed { late: last_outcome == Some(Outcome::Timeout) },
+                );
+                self.remove_if_done(request);
             }
             Action::Cancel { request, attempt } => {
-                let held = self.requests.get_mut(&request);
-                let tried = held.and_then(|h| h.attempts.get_mut(attempt));
-                if tried.is_some_and(|t| t.task.take().is_some()) {
-                    self.later.push_back((request, attempt, Ended::bare(Outcome::Cancelled)));
+                let pending = self.requests.get_mut(&request);
+                let record = pending.and_then(|r| r.attempts.get_mut(attempt));
+                if record.is_some_and(|t| t.task.take().is_some()) {
+                    self.deferred_ends.push_back((
+                        request,
+                        attempt,
+                        AttemptResult::without_response(Outcome::Cancelled),
+                    ));
                 }
             }
             Action::Arm { token, at } => {
-                self.timers.push(Reverse((self.clock.instant(at), Due::Token(service, token))));
+                self.timers
+                    .push(Reverse((self.clock.instant(at), TimerKind::Policy(service, token))));
             }
             Action::CloseIdle { server } => self.pool.close_idle(server),
-            Action::Subscribe => self.order(Order::Ask),
+            Action::Subscribe => self.send_order(Order::Ask),
             // UpstreamTable here take no probes, and the module sends none where that is so.
             Action::Probe { .. } => {}
         }
     }
 
     fn send(&mut self, id: RequestId, server: ServerId, allow: Span, before: Time) {
-        let Some(held) = self.requests.get_mut(&id) else { return };
-        let (now, attempt) = (Instant::now(), held.attempts.len());
-        let allowed =
-            if allow.0 > 0 { now + Duration::from_micros(allow.0 as u64) } else { held.until };
-        let until = allowed.min(held.until);
-        let twice = held.out() > 0 && !self.second_copies;
+        let Some(pending) = self.requests.get_mut(&id) else { return };
+        let (now, attempt) = (Instant::now(), pending.attempts.len());
+        let allowed = if allow.0 > 0 {
+            now + Duration::from_micros(allow.0 as u64)
+        } else {
+            pending.policy_deadline
+        };
+        let until = allowed.min(pending.policy_deadline);
+        let disallowed_copy = pending.in_flight() > 0 && !self.second_copies;
         let target = self.upstreams.target(server);
-        let mut tried = Try { server, sent: now, task: None };
-        let over = held.reply.is_none() || attempt >= self.max_attempts || now >= until;
-        let over = over || held.forward.body.is_spent();
-        let (Some(target), false) = (target, over || twice) else {
-            held.attempts.push(tried);
-            self.later.push_back((id, attempt, Ended::bare(Outcome::NotSent)));
+        let mut record = Attempt { server, sent_at: now, task: None };
+        let over = pending.reply.is_none() || attempt >= self.max_attempts || now >= until;
+        let over = over || pending.forward.body.is_spent();
+        let (Some(target), false) = (target, over || disallowed_copy) else {
+            pending.attempts.push(record);
+            self.deferred_ends.push_back((
+                id,
+                attempt,
+                AttemptResult::without_response(Outcome::NotSent),
+            ));
             return;
         };
-        let (pool, notes) = (self.pool.clone(), self.own_notes.clone());
-        let (forward, live) = (held.forward.clone(), held.live.clone());
+        let (pool, messages) = (self.pool.clone(), self.message_sender.clone());
+        let (forward, unanswered) = (pending.forward.clone(), pending.unanswered.clone());
         let (before, violations) = (self.clock.instant(before), self.figures.violations.clone());
-        let guard = AttemptGuard::new(forward, live, target, before, violations);
-        tracing::debug!(request = held.forward.id(), attempt, ?server, "an attempt begins");
+        let guard = AttemptGuard::new(forward, unanswered, target, before, violations);
+        tracing::debug!(request = pending.forward.id(), attempt, ?server, "an attempt begins");
         if let Err(denial) = guard.check() {
-            held.attempts.push(tried);
-            self.later.push_back((id, attempt, Ended::denied(denial)));
+            pending.attempts.push(record);
+            self.deferred_ends.push_back((id, attempt, AttemptResult::denied(denial)));
             return;
         }
-        tried.task = Some(AbortOnDrop(tokio::task::spawn_local(async move {
-            let ended = pool.attempt(server, &guard, until).await;
-            let _ = notes.send(Note::Ended { id, attempt, ended });
+        record.task = Some(AbortOnDrop(tokio::task::spawn_local(async move {
+            let result = pool.attempt(server, &guard, until).await;
+            let _ = messages.send(EngineMessage::AttemptEnded { id, attempt, result });
         })));
-        held.attempts.push(tried);
+        pending.attempts.push(record);
     }
 }
 
--- a/src/bin/hollowpaddle/engine/handle.rs
+++ b/src/bin/hollowpaddle/engine/handle.rs
@@ -12,10 +12,10 @@
 
 use crate::bodies::{Broken, Served};
 use crate::lateness::Lateness;
-use crate::upstreams::{Ended, Forward};
+use crate::upstreams::{AttemptResult, Forward};
 
 /// What the engine is told.
-pub(super) enum Note {
+pub(super) enum EngineMessage {
     Arrived {
         id: RequestId,
         arrival: Arrival,
@@ -24,19 +24,19 @@
     },
     Left(RequestId),
     /// The body of a request that arrived before it was whole is whole now.
-    Whole(RequestId),
-    Ended {
+    BodyComplete(RequestId),
+    AttemptEnded {
         id: RequestId,
         attempt: usize,
-        ended: Ended,
+        result: AttemptResult,
     },
     DiscoveryMoved(Vec<SocketAddr>),
     /// These services and routes are to be in force.
     Reload(Option<Rc<Catalog>>),
     /// The process ends; by then all that was taken has to be answered.
-    Ending(Instant),
+    Shutdown(Instant),
     /// How many upstreams the list names, and how many of them the module avoids.
-    Pool(oneshot::Sender<(usize, usize)>),
+    UpstreamCounts(oneshot::Sender<(usize, usize)>),
 }
 
 /// A request as the module needs to know it.
@@ -73,7 +73,7 @@
 /// The engine as clients' connections and signals see it.
 #[derive(Clone)]
 pub struct Handle {
-    pub(super) notes: mpsc::UnboundedSender<Note>,
+    pub(super) messages: mpsc::UnboundedSender<EngineMessage>,
     pub(super) next: Rc<Cell<u64>>,
     pub(super) ready: Rc<Cell<bool>>,
     pub(super) routing: Rc<RefCell<Rc<Routing>>>,
@@ -82,8 +82,8 @@
 
 impl Handle {
     /// The earliest moment at which what is read now may have come.
-    pub fn arrived(&self) -> Instant {
-        self.lateness.arrived(Instant::now())
+    pub fn earliest_arrival(&self) -> Instant {
+        self.lateness.earliest_arrival(Instant::now())
     }
 
     /// Which request is whose, as it is in force now.
@@ -94,7 +94,7 @@
     /// These services and routes are to be in force, if they can take the place of those that are; `None` for a
     /// configuration that names no services.
     pub fn reload(&self, catalog: Option<Rc<Catalog>>) {
-        let _ = self.notes.send(Note::Reload(catalog));
+        let _ = self.messages.send(EngineMessage::Reload(catalog));
     }
 
     /// Whether there is anywhere to send to.
@@ -104,42 +104,47 @@
 
     /// The list is to be had from these addresses from now on.
     pub fn discovery_moved(&self, addresses: Vec<SocketAddr>) {
-        let _ = self.notes.send(Note::DiscoveryMoved(addresses));
+        let _ = self.messages.send(EngineMessage::DiscoveryMoved(addresses));
     }
 
     /// All that is taken, now or later, is answered by then.
-    pub fn ending(&self, by: Instant) {
-        let _ = self.notes.send(Note::Ending(by));
+    pub fn shut_down_by(&self, by: Instant) {
+        let _ = self.messages.send(EngineMessage::Shutdown(by));
     }
 
     /// How many upstreams the list names, and how many of them get nothing now.
-    pub async fn pool(&self) -> (usize, usize) {
+    pub async fn upstream_counts(&self) -> (usize, usize) {
         let (reply, answer) = oneshot::channel();
-        let _ = self.notes.send(Note::Pool(reply));
+        let _ = self.messages.send(EngineMessage::UpstreamCounts(reply));
         answer.await.unwrap_or_default()
     }
 
     /// Hands in a request and waits for its answer. Dropped before that, it tells that the client left. Of a
     /// body that is still coming, `whole` is told its end; one that breaks has no answer.
-    pub async fn ask(
+    pub async fn submit(
         &self,
         arrival: Arrival,
         forward: Forward,
-        whole: impl FnOnce(),
+        on_body_complete: impl FnOnce(),
     ) -> Result<Reply, Broken> {
         let id = RequestId(self.next.replace(self.next.get() + 1));
         let (reply, mut answer) = oneshot::channel();
         let rest = forward.body.rest.clone();
-        let _ = self.notes.send(Note::Arrived { id, arrival, forward: Box::new(forward), reply });
-        let mut leaving = Leaving { id, notes: Some(&self.notes) };
+        let _ = self.messages.send(EngineMessage::Arrived {
+            id,
+            arrival,
+            forward: Box::new(forward),
+            reply,
+        });
+        let mut notify_left = NotifyLeftOnDrop { id, messages: Some(&self.messages) };
         let mut early = None;
         if let Some(rest) = rest {
             tokio::select! {
                 biased;
                 how = rest.ended() => {
                     how?;
-                    whole();
-                    let _ = self.notes.send(Note::Whole(id));
+                    on_body_complete();
+                    let _ = self.messages.send(EngineMessage::BodyComplete(id));
                 }
                 answer = &mut answer => early = Some(answer),
             }
@@ -148,21 +153,21 @@
             Some(answer) => answer,
             None => answer.await,
         };
-        leaving.notes = None;
+        notify_left.messages = None;
         Ok(answer.unwrap_or(Reply::Failed { late: false }))
     }
 }
 
 /// Tells of a client that went away before its answer.
-struct Leaving<'a> {
+struct NotifyLeftOnDrop<'a> {
     id: RequestId,
-    notes: Option<&'a mpsc::UnboundedSender<Note>>,
+    messages: Option<&'a mpsc::UnboundedSender<EngineMessage>>,
 }
 
-impl Drop for Leaving<'_> {
+impl Drop for NotifyLeftOnDrop<'_> {
     fn drop(&mut self) {
-        if let Some(notes) = self.notes {
-            let _ = notes.send(Note::Left(self.id));
+        if let Some(messages) = self.messages {
+            let _ = messages.send(EngineMessage::Left(self.id));
         }
     }
 }
--- a/src/bin/hollowpaddle/engine/tests.rs
+++ b/src/bin/hollowpaddle/engine/tests.rs
@@ -24,12 +24,12 @@
         (24_000, 18_000, 22_000),
         (12, 9, 11),
     ];
-    for (left, module, engine) in table.map(|(a, b, c)| {
+    for (left, policy, engine) in table.map(|(a, b, c)| {
         let at = |us| now + Duration::from_micros(us);
         (at(a), at(b), at(c))
     }) {
         let room = headroom(left, now);
-        assert_eq!((left - room, backstop(left, room)), (module, engine));
+        assert_eq!((left - room, backstop(left, room)), (policy, engine));
     }
     assert_eq!(headroom(now, now + MS), Duration::ZERO, "its time was up before it came");
 }
@@ -83,7 +83,7 @@
     LocalSet::new().block_on(&runtime, async {
         let (client, _peer) = connected();
         // The aim, 2 s, is later than each deadline, so that only the deadline can end it.
-        for (deadline, module) in [(1500, 1485), (900, 885)] {
+        for (deadline, policy) in [(1500, 1485), (900, 885)] {
             let (engine, handle) = engine(address);
             let _engine = AbortOnDrop(tokio::task::spawn_local(engine.run()));
             let alarm = handle.routing().catalog.services[0].class("alarm").expect("a class");
@@ -107,7 +107,7 @@
                 client: client.peer(),
             };
             let from = Instant::now();
-            let reply = timeout(deadline * MS, handle.ask(arrival, forward, || ())).await;
+            let reply = timeout(deadline * MS, handle.submit(arrival, forward, || ())).await;
             let took = from.elapsed();
             let kind = match reply.expect("before its client gives up") {
                 Ok(Reply::Failed { late: true }) => "late",
@@ -117,7 +117,7 @@
                 Err(_) => "broken",
             };
             // Timers are a millisecond apart.
-            let by = module * MS..=(module + 1) * MS;
+            let by = policy * MS..=(policy + 1) * MS;
             assert_eq!((kind, by.contains(&took)), ("late", true), "of {deadline} ms: {took:?}");
         }
     });
--- a/src/bin/hollowpaddle/engine/upstream_table.rs
+++ b/src/bin/hollowpaddle/engine/upstream_table.rs
@@ -27,7 +27,7 @@
     }
 
     /// Takes in what became of an upstream.
-    pub(super) fn change(&mut self, change: &Change, pool: &Pool, figures: &Figures) {
+    pub(super) fn apply(&mut self, change: &Change, pool: &Pool, figures: &Figures) {
         let at = change.server.0 as usize;
         // Handles count up from 0, in the order in which upstreams are first named.
         if at == self.targets.len() {
@@ -35,7 +35,7 @@
             self.targets.push(Rc::new(target));
             self.figures.push(None);
         }
-        let (Some(target), Some(counted)) = (self.targets.get(at), self.figures.get_mut(at)) else {
+        let (Some(target), Some(metrics)) = (self.targets.get(at), self.figures.get_mut(at)) else {
             return;
         };
         if target.address.replace(change.address) != change.address {
@@ -43,10 +43,10 @@
         }
         target.closed.set(change.status != Status::Live);
         if change.status != Status::Gone {
-            if counted.is_none() {
-                *counted = figures.upstream(&change.id);
+            if metrics.is_none() {
+                *metrics = figures.upstream(&change.id);
             }
-        } else if counted.take().is_some() {
+        } else if metrics.take().is_some() {
             figures.forget(&change.id);
         }
     }
--- a/src/bin/hollowpaddle/guard.rs
+++ b/src/bin/hollowpaddle/guard.rs
@@ -13,22 +13,22 @@
 use crate::upstreams::{Forward, Target};
 
 /// A look at the client's connection holds for so long: far less than an attempt may begin after a close.
-const LOOK_HOLDS: Duration = Duration::from_millis(5);
+const CLIENT_CHECK_VALIDITY: Duration = Duration::from_millis(5);
 
 /// What one attempt at an upstream depends on until its first byte is out.
 pub struct AttemptGuard {
     forward: Rc<Forward>,
     /// Cleared once the request has its answer.
-    live: Rc<Cell<bool>>,
+    unanswered: Rc<Cell<bool>>,
     target: Rc<Target>,
     /// The last moment at which the attempt may begin.
-    before: Instant,
+    latest_start: Instant,
     /// Where the connection in use leads.
     address: Cell<Option<SocketAddr>>,
     /// The deadline that the request tells the upstream.
-    told: Cell<Option<Duration>>,
+    sent_deadline: Cell<Option<Duration>>,
     /// When the client was last seen to be there.
-    seen: Cell<Option<Instant>>,
+    client_seen: Cell<Option<Instant>>,
     denial: Cell<Option<Denial>>,
     violations: Violations,
 }
@@ -37,19 +37,19 @@
     /// The guard of an attempt that may begin until `before`.
     pub fn new(
         forward: Rc<Forward>,
-        live: Rc<Cell<bool>>,
+        unanswered: Rc<Cell<bool>>,
         target: Rc<Target>,
-        before: Instant,
+        latest_start: Instant,
         violations: Violations,
     ) -> Rc<Self> {
         Rc::new(Self {
             forward,
-            live,
+            unanswered,
             target,
-            before,
+            latest_start,
             address: Cell::new(None),
-            told: Cell::new(None),
-            seen: Cell::new(None),
+            sent_deadline: Cell::new(None),
+            client_seen: Cell::new(None),
             denial: Cell::new(None),
             violations,
         })
@@ -66,14 +66,14 @@
     }
 
     /// A connection to this address is used from now on.
-    pub fn connected(&self, address: SocketAddr) {
+    pub fn set_address(&self, address: SocketAddr) {
         self.address.set(Some(address));
-        self.told.set(None);
+        self.sent_deadline.set(None);
     }
 
     /// The request tells the upstream so much time from now on.
-    pub fn tells(&self, deadline: Duration) {
-        self.told.set(Some(deadline));
+    pub fn set_sent_deadline(&self, deadline: Duration) {
+        self.sent_deadline.set(Some(deadline));
     }
 
     /// Asked whenever the attempt goes on, and right before its first byte is written.
@@ -84,8 +84,8 @@
         let now = Instant::now();
         let permitted = permit::send(&SendFacts {
             client_closed: self.client_closed(now),
-            answered: !self.live.get(),
-            window_passed: now >= self.before,
+            answered: !self.unanswered.get(),
+            window_passed: now >= self.latest_start,
             upstream_closed: self.target.closed.get(),
             upstream_moved: self.address.get().is_some_and(|at| at != self.target.address.get()),
             deadline_excess: self.deadline_excess(now),
@@ -103,16 +103,16 @@
     }
 
     /// The first bytes are written: counts the rules that this has broken.
-    pub fn begun(&self) {
+    pub fn record_start(&self) {
         let now = Instant::now();
-        let seen = self.seen.get();
+        let seen = self.client_seen.get();
         let since_check = seen.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         let facts = SentFacts {
             guarded: seen.is_some(),
             since_check,
             client_closed: since_check > permit::AFTER_CLOSE && self.forward.client.has_closed(),
             upstream_closed: self.target.closed.get(),
-            past_window: now.saturating_duration_since(self.before),
+            past_window: now.saturating_duration_since(self.latest_start),
             deadline_excess: self.deadline_excess(now),
         };
         for rule in permit::broken(&facts) {
@@ -121,18 +121,18 @@
     }
 
     /// Bytes of a request are written on a connection that no guard has permitted.
-    pub fn unguarded(violations: &Violations) {
+    pub fn record_unguarded(violations: &Violations) {
         violations.count(Rule::UnguardedAttempt, None);
     }
 
     fn client_closed(&self, now: Instant) -> bool {
-        let holds = |seen: Instant| now.saturating_duration_since(seen) < LOOK_HOLDS;
-        if self.seen.get().is_some_and(holds) {
+        let holds = |seen: Instant| now.saturating_duration_since(seen) < CLIENT_CHECK_VALIDITY;
+        if self.client_seen.get().is_some_and(holds) {
             return false;
         }
         let closed = self.forward.client.has_closed();
         if !closed {
-            self.seen.set(Some(now));
+            self.client_seen.set(Some(now));
         }
         closed
     }
@@ -141,7 +141,9 @@
     /// time has not begun.
     fn deadline_excess(&self, now: Instant) -> Duration {
         let coming = self.forward.body.rest.as_ref().is_some_and(|rest| !rest.is_whole());
-        let Some(told) = self.told.get().filter(|_| !coming) else { return Duration::ZERO };
-        told.saturating_sub(self.forward.until.get().saturating_duration_since(now))
+        let Some(sent_deadline) = self.sent_deadline.get().filter(|_| !coming) else {
+            return Duration::ZERO;
+        };
+        sent_deadline.saturating_sub(self.forward.until.get().saturating_duration_since(now))
     }
 }
--- a/src/bin/hollowpaddle/lateness/tests.rs
+++ b/src/bin/hollowpaddle/lateness/tests.rs
@@ -5,18 +5,22 @@
 #[test]
 fn what_is_read_after_a_stall_came_when_the_stall_began() {
     let (lateness, start) = (Lateness::default(), Instant::now());
-    assert_eq!(lateness.arrived(start), start, "no timer tells");
+    assert_eq!(lateness.earliest_arrival(start), start, "no timer tells");
     let due = start + 60 * MS;
-    lateness.expect(Some(due));
-    assert_eq!(lateness.arrived(start + 10 * MS), start + 10 * MS, "in time");
+    lateness.set_next_timer(Some(due));
+    assert_eq!(lateness.earliest_arrival(start + 10 * MS), start + 10 * MS, "in time");
     assert_eq!(
-        (lateness.woke(due + 40 * MS), lateness.arrived(due + 40 * MS)),
+        (lateness.record_wakeup(due + 40 * MS), lateness.earliest_arrival(due + 40 * MS)),
         (None, due + 40 * MS)
     );
     // Read before the late timer has fired, and after.
-    assert_eq!(lateness.arrived(due + 300 * MS), due);
-    assert_eq!(lateness.woke(due + 300 * MS), Some(300 * MS));
-    lateness.expect(Some(due + 360 * MS));
-    assert_eq!(lateness.arrived(due + 340 * MS), due);
-    assert_eq!(lateness.arrived(due + 350 * MS), due + 350 * MS, "all of it has been read");
+    assert_eq!(lateness.earliest_arrival(due + 300 * MS), due);
+    assert_eq!(lateness.record_wakeup(due + 300 * MS), Some(300 * MS));
+    lateness.set_next_timer(Some(due + 360 * MS));
+    assert_eq!(lateness.earliest_arrival(due + 340 * MS), due);
+    assert_eq!(
+        lateness.earliest_arrival(due + 350 * MS),
+        due + 350 * MS,
+        "all of it has been read"
+    );
 }
--- a/src/bin/hollowpaddle/lifecycle.rs
+++ b/src/bin/hollowpaddle/lifecycle.rs
@@ -7,7 +7,7 @@
 
 /// After a drain was asked for, how long idle connections are still kept: clients that close them first, or
 /// ask once more and are told to go, lose nothing. Callers of a drain expect none to be left after 4 s.
-const QUIESCE_AFTER: Duration = Duration::from_millis(1500);
+const QUIESCE_LINGER: Duration = Duration::from_millis(1500);
 /// The same after SIGTERM, and how long connections are still accepted then: the front needs a moment to hear
 /// of it, and what is taken much later would not be finished before SIGKILL.
 pub const LINGER: Duration = Duration::from_millis(500);
@@ -57,20 +57,20 @@
 
     /// Sends clients away; false once the process is stopping.
     pub fn quiesce(&self) -> bool {
-        self.turn(Phase::Quiesced)
+        self.transition(Phase::Quiesced)
     }
 
     /// Takes clients again; false once the process is stopping.
     pub fn resume(&self) -> bool {
-        self.turn(Phase::Serving)
+        self.transition(Phase::Serving)
     }
 
     /// Ends the service here, for good.
     pub fn stop(&self, replaced: bool) {
-        self.turn(if replaced { Phase::Replaced } else { Phase::Stopping });
+        self.transition(if replaced { Phase::Replaced } else { Phase::Stopping });
     }
 
-    fn turn(&self, to: Phase) -> bool {
+    fn transition(&self, to: Phase) -> bool {
         let from = self.phase();
         if matches!(from, Phase::Stopping | Phase::Replaced) {
             return false;
@@ -83,12 +83,12 @@
     }
 
     /// Waits until a connection that is open now has to close as soon as it idles.
-    pub async fn time_to_close(&self) {
+    pub async fn wait_for_idle_close(&self) {
         let mut phase = self.0.subscribe();
         loop {
             let after = match *phase.borrow_and_update() {
                 Phase::Serving => None,
-                Phase::Quiesced => Some(QUIESCE_AFTER),
+                Phase::Quiesced => Some(QUIESCE_LINGER),
                 Phase::Stopping | Phase::Replaced => Some(LINGER),
             };
             let wait = async {
--- a/src/bin/hollowpaddle/main.rs
+++ b/src/bin/hollowpaddle/main.rs
@@ -126,7 +126,7 @@
     let calls = config.management.map(open).transpose()?;
     let budget = config.budget();
     let figures = Figures::new(config.management.is_some());
-    for (service, classes) in engine::named(&config.catalog) {
+    for (service, classes) in engine::service_classes(&config.catalog) {
         figures.serve(service, classes);
     }
     let keeper = config.state_dir.as_deref().map(Keeper::open).transpose();
--- a/src/bin/hollowpaddle/management.rs
+++ b/src/bin/hollowpaddle/management.rs
@@ -26,9 +26,9 @@
 
 /// Descriptors for calls. A whole call is answered as soon as it is read, so a full share means callers that
 /// don't finish theirs.
-pub const SHARE: usize = 16;
+pub const MAX_CONNECTIONS: usize = 16;
 /// A call takes no longer than this, from connecting to the last byte of its answer.
-const CALL_WITHIN: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The longest head; the least that hyper takes.
 const HEAD_LIMIT: usize = 8 << 10;
 /// Calls have no body to speak of.
@@ -44,7 +44,7 @@
 }
 
 impl Call {
-    fn at(path: &str) -> Option<Self> {
+    fn from_path(path: &str) -> Option<Self> {
         match path {
             "/admin/health" => Some(Call::Health),
             "/admin/stats" => Some(Call::Stats),
@@ -82,7 +82,7 @@
                 Ok((stream, _)) => {
                     calls.retain(|c: &AbortOnDrop| !c.0.is_finished());
                     // The oldest has had the longest time to finish its call.
-                    if calls.len() >= SHARE {
+                    if calls.len() >= MAX_CONNECTIONS {
                         calls.pop_front();
                     }
                     let call = tokio::task::spawn_local(self.clone().call(stream));
@@ -102,7 +102,7 @@
             .keep_alive(false)
             .max_buf_size(HEAD_LIMIT)
             .serve_connection(TokioIo::new(Socket::new(stream)), service);
-        let _ = timeout(CALL_WITHIN, connection).await;
+        let _ = timeout(CALL_TIMEOUT, connection).await;
     }
 
     async fn answer(&self, request: Request<Incoming>) -> Result<Reply, Infallible> {
@@ -110,7 +110,7 @@
         if Limited::new(body, BODY_LIMIT).collect().await.is_err() {
             return Ok(say(StatusCode::BAD_REQUEST, &json!({"error": "the body"})));
         }
-        let Some(call) = Call::at(head.uri.path()) else {
+        let Some(call) = Call::from_path(head.uri.path()) else {
             return Ok(say(StatusCode::NOT_FOUND, &json!({"error": "no such call"})));
         };
         let method = call.method();
@@ -123,10 +123,12 @@
         }
         Ok(match call {
             Call::Health => self.health(),
-            Call::Stats => say(StatusCode::OK, &self.figures.told(self.engine.pool().await)),
-            Call::Metrics => self.figures.scraped(self.engine.pool().await),
-            Call::Quiesce => self.turned(self.lifecycle.quiesce()),
-            Call::Resume => self.turned(self.lifecycle.resume()),
+            Call::Stats => {
+                say(StatusCode::OK, &self.figures.told(self.engine.upstream_counts().await))
+            }
+            Call::Metrics => self.figures.scraped(self.engine.upstream_counts().await),
+            Call::Quiesce => self.phase_reply(self.lifecycle.quiesce()),
+            Call::Resume => self.phase_reply(self.lifecycle.resume()),
         })
     }
 
@@ -142,7 +144,7 @@
     }
 
     /// Only a process that is stopping says no: that can't be undone.
-    fn turned(&self, done: bool) -> Reply {
+    fn phase_reply(&self, done: bool) -> Reply {
         let status = if done { StatusCode::OK } else { StatusCode::CONFLICT };
         say(status, &json!({"phase": self.lifecycle.phase().name()}))
     }
--- a/src/bin/hollowpaddle/upstreams.rs
+++ b/src/bin/hollowpaddle/upstreams.rs
@@ -30,30 +30,30 @@
 use crate::config::Config;
 use crate::guard::AttemptGuard;
 use crate::succession::SOCKET_BUFFER;
-use connection::{Counted, Link, Open, Written};
+use connection::{CountedIo, OpenConnectionGuard, UpstreamConnection, Written};
 use hollowpaddle::socket::{Peer, Socket, Unread};
 pub use streamed_response::StreamedResponse;
 
 /// Idle connections are dropped at this share of the upstream's own limit: a request that crosses with its
 /// close would end as a reset, which no unsafe request survives.
-const IDLE_OF_KEEPALIVE: f64 = 0.75;
+const IDLE_LIMIT_RATIO: f64 = 0.75;
 /// How often idle connections are looked through.
-const REAP_EVERY: Duration = Duration::from_millis(250);
+const REAP_INTERVAL: Duration = Duration::from_millis(250);
 /// How long a connection rests after an answer before it carries another request, at an upstream that was seen to
 /// speak out of turn lately: it may answer twice, some milliseconds apart (STANDING), and nothing tells a second
 /// answer from that to the next request. On a connection that rests it is seen, and ends the connection.
-const REST: Duration = Duration::from_millis(10);
-const LATELY: Duration = Duration::from_secs(60);
+const UNSOLICITED_HOLD_OFF: Duration = Duration::from_millis(10);
+const UNSOLICITED_WINDOW: Duration = Duration::from_secs(60);
 /// How long a connection may take to be ready again once its answer is whole.
-const READY: Duration = Duration::from_millis(10);
+const READY_TIMEOUT: Duration = Duration::from_millis(10);
 
 /// How long an answer that does not tell its size is waited for to be whole or large, before what there is of
 /// it is passed on: a large one is timed by its first bytes.
-const WHOLE_WITHIN: Duration = Duration::from_millis(20);
+const COMPLETE_BODY_TIMEOUT: Duration = Duration::from_millis(20);
 /// An upstream that neither takes nor gives a byte for so long, in the middle of a body, is given up.
-const STALL: Duration = Duration::from_secs(8);
+const STALL_TIMEOUT: Duration = Duration::from_secs(8);
 /// How often that is looked at.
-const STALL_STEP: Duration = Duration::from_secs(1);
+const STALL_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A client's request as it goes on, the same for each of its attempts.
 pub struct Forward {
@@ -75,7 +75,7 @@
 }
 
 /// How an attempt ended, and with what.
-pub struct Ended {
+pub struct AttemptResult {
     pub outcome: Outcome,
     pub report: Report,
     /// The answer, if it served.
@@ -84,14 +84,14 @@
     pub denial: Option<Denial>,
 }
 
-impl Ended {
-    pub fn bare(outcome: Outcome) -> Self {
+impl AttemptResult {
+    pub fn without_response(outcome: Outcome) -> Self {
         Self { outcome, report: Report::default(), response: None, denial: None }
     }
 
     /// The guard did not let it begin.
     pub fn denied(denial: Denial) -> Self {
-        Self { denial: Some(denial), ..Self::bare(Outcome::NotSent) }
+        Self { denial: Some(denial), ..Self::without_response(Outcome::NotSent) }
     }
 }
 
@@ -106,22 +106,27 @@
 
 /// The connections to all upstreams, and how to use them.
 pub struct Pool {
-    idle: RefCell<FxHashMap<ServerId, Vec<Link>>>,
+    idle: RefCell<FxHashMap<ServerId, Vec<UpstreamConnection>>>,
     /// Upstreams that said something on a connection on which nothing was asked, and when.
-    out_of_turn: RefCell<FxHashMap<ServerId, Instant>>,
-    open: Rc<Cell<usize>>,
-    most: usize,
+    unsolicited: RefCell<FxHashMap<ServerId, Instant>>,
+    open_count: Rc<Cell<usize>>,
+    max_connections: usize,
     idle_limit: Duration,
     connect_timeout: Duration,
     fields: Vec<(String, Field)>,
-    tries: Counter,
+    attempts_sent: Counter,
     violations: Violations,
     memory: Rc<Memory>,
 }
 
 impl Pool {
     /// Counts in these figures the attempts that were written whole, and the rules that they broke.
-    pub fn new(most: usize, config: &Config, figures: &Figures, memory: Rc<Memory>) -> Rc<Self> {
+    pub fn new(
+        max_connections: usize,
+        config: &Config,
+        figures: &Figures,
+        memory: Rc<Memory>,
+    ) -> Rc<Self> {
         let limits = &config.facts.policy_limits;
         let ms = |ms: f64, default: f64| {
             let ms = if ms > 0.0 && ms < 1e7 { ms } else { default };
@@ -130,20 +135,20 @@
         let names = &config.facts.stats.names;
         let pool = Rc::new(Self {
             idle: RefCell::default(),
-            out_of_turn: RefCell::default(),
-            open: Rc::default(),
-            most,
-            idle_limit: ms(limits.keepalive, 5000.0).mul_f64(IDLE_OF_KEEPALIVE),
+            unsolicited: RefCell::default(),
+            open_count: Rc::default(),
+            max_connections,
+            idle_limit: ms(limits.keepalive, 5000.0).mul_f64(IDLE_LIMIT_RATIO),
             connect_timeout: ms(limits.connect_timeout, 250.0),
             fields: names.iter().map(|n| (n.clone(), Field::named(n))).collect(),
-            tries: figures.tries.clone(),
+            attempts_sent: figures.tries.clone(),
             violations: figures.violations.clone(),
             memory,
         });
         let weak = Rc::downgrade(&pool);
         tokio::task::spawn_local(async move {
             loop {
-                sleep(REAP_EVERY).await;
+                sleep(REAP_INTERVAL).await;
                 let Some(pool) = weak.upgrade() else { return };
                 pool.reap();
             }
@@ -153,14 +158,14 @@
 
     /// Drops what has idled for too long or was closed from the other side.
     fn reap(&self) {
-        self.idle.borrow_mut().retain(|_, links| {
-            links.retain(|l| self.usable(l));
-            !links.is_empty()
+        self.idle.borrow_mut().retain(|_, connections| {
+            connections.retain(|c| self.usable(c));
+            !connections.is_empty()
         });
     }
 
-    fn usable(&self, link: &Link) -> bool {
-        !link.sender.is_closed() && link.idle_since.elapsed() < self.idle_limit
+    fn usable(&self, connection: &UpstreamConnection) -> bool {
+        !connection.sender.is_closed() && connection.idle_since.elapsed() < self.idle_limit
     }
 
     /// Drops the idle connections to an upstream.
@@ -168,73 +173,83 @@
         self.idle.borrow_mut().remove(&server);
     }
 
-    fn spoke_out_of_turn(&self, server: ServerId, address: SocketAddr) {
+    fn record_unsolicited(&self, server: ServerId, address: SocketAddr) {
         tracing::info!(%address, "an upstream spoke out of turn");
-        self.out_of_turn.borrow_mut().insert(server, Instant::now());
+        self.unsolicited.borrow_mut().insert(server, Instant::now());
     }
 
-    fn speaks_out_of_turn(&self, server: ServerId) -> bool {
-        self.out_of_turn.borrow().get(&server).is_some_and(|seen| seen.elapsed() < LATELY)
+    fn recently_unsolicited(&self, server: ServerId) -> bool {
+        self.unsolicited
+            .borrow()
+            .get(&server)
+            .is_some_and(|seen| seen.elapsed() < UNSOLICITED_WINDOW)
     }
 
     /// Of those that have rested the one used last: the others can age out.
-    fn take(&self, server: ServerId, address: SocketAddr) -> Option<Link> {
+    fn take_idle(&self, server: ServerId, address: SocketAddr) -> Option<UpstreamConnection> {
         let mut idle = self.idle.borrow_mut();
-        let links = idle.get_mut(&server)?;
-        let rest = if self.speaks_out_of_turn(server) { REST } else { Duration::ZERO };
-        while let Some(at) = links.iter().rposition(|l| l.idle_since.elapsed() >= rest) {
-            let link = links.remove(at);
-            if !self.usable(&link) || link.address != address {
+        let connections = idle.get_mut(&server)?;
+        let rest =
+            if self.recently_unsolicited(server) { UNSOLICITED_HOLD_OFF } else { Duration::ZERO };
+        while let Some(at) = connections.iter().rposition(|c| c.idle_since.elapsed() >= rest) {
+            let connection = connections.remove(at);
+            if !self.usable(&connection) || connection.address != address {
                 continue;
             }
-            match link.at_rest() {
-                Unread::Nothing => return Some(link),
-                Unread::Bytes => self.spoke_out_of_turn(server, address),
+            match connection.unread_input() {
+                Unread::Nothing => return Some(connection),
+                Unread::Bytes => self.record_unsolicited(server, address),
                 Unread::End => {}
             }
         }
         None
     }
 
-    fn put(&self, server: ServerId, link: Link) {
-        self.idle.borrow_mut().entry(server).or_default().push(link);
+    fn put_idle(&self, server: ServerId, connection: UpstreamConnection) {
+        self.idle.borrow_mut().entry(server).or_default().push(connection);
     }
 
     /// Makes room for one more connection at the cost of the one that has idled longest.
     fn make_room(&self) -> bool {
-        if self.open.get() < self.most {
+        if self.open_count.get() < self.max_connections {
             return true;
         }
         let mut idle = self.idle.borrow_mut();
         // Each stack is in order of age, the oldest first.
         let oldest = idle
             .iter()
-            .filter_map(|(server, links)| links.first().map(|l| (l.idle_since, *server)))
+            .filter_map(|(server, connections)| {
+                connections.first().map(|c| (c.idle_since, *server))
+            })
             .min_by_key(|(since, _)| *since);
         let Some((_, server)) = oldest else { return false };
-        if let Some(links) = idle.get_mut(&server) {
-            drop(links.remove(0));
+        if let Some(connections) = idle.get_mut(&server) {
+            drop(connections.remove(0));
         }
         true
     }
 
-    async fn connect(self: &Rc<Self>, server: ServerId, address: SocketAddr) -> Option<Link> {
+    async fn connect(
+        self: &Rc<Self>,
+        server: ServerId,
+        address: SocketAddr,
+    ) -> Option<UpstreamConnection> {
         if !self.make_room() {
             tracing::warn!("no descriptor left for an upstream");
             return None;
         }
-        let open = Open::new(&self.open);
+        let open = OpenConnectionGuard::new(&self.open_count);
         let socket =
             if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }.ok()?;
         socket.set_send_buffer_size(SOCKET_BUFFER).ok()?;
         socket.set_recv_buffer_size(SOCKET_BUFFER).ok()?;
         let stream = timeout(self.connect_timeout, socket.connect(address)).await.ok()?.ok()?;
         stream.set_nodelay(true).ok()?;
-        let (tries, violations) = (self.tries.clone(), self.violations.clone());
-        let written = Written { tries, violations, ..Written::default() };
+        let (attempts_sent, violations) = (self.attempts_sent.clone(), self.violations.clone());
+        let written = Written { attempts_sent, violations, ..Written::default() };
         let socket = Socket::new(stream);
         let peer = socket.peer();
-        let io = Counted { inner: TokioIo::new(socket), written: written.clone() };
+        let io = CountedIo { inner: TokioIo::new(socket), written: written.clone() };
         let (sender, connection) =
             http1::Builder::new().max_buf_size(BUFFER).handshake(io).await.ok()?;
         let pool = Rc::downgrade(self);
@@ -242,26 +257,26 @@
             let _open = open;
             let ended = connection.await;
             // More than an answer, or none: hyper tells the one only in words. A failure of the socket has a source.
-            let spoke = ended.is_err_and(|e| {
+            let unsolicited = ended.is_err_and(|e| {
                 std::error::Error::source(&e).is_none()
                     && !e.is_incomplete_message()
                     && !e.is_canceled()
             });
-            if let (true, Some(pool)) = (spoke, pool.upgrade()) {
-                pool.spoke_out_of_turn(server, address);
+            if let (true, Some(pool)) = (unsolicited, pool.upgrade()) {
+                pool.record_unsolicited(server, address);
             }
         });
         let idle_since = Instant::now();
         let _connection = AbortOnDrop(task);
-        Some(Link { sender, written, peer, address, idle_since, _connection })
+        Some(UpstreamConnection { sender, written, peer, address, idle_since, _connection })
     }
 
     /// Keeps a connection whose answer has been read, once it can take another request.
-    async fn give_back(&self, server: ServerId, mut link: Link) {
-        if let Ok(Ok(())) = timeout(READY, link.sender.ready()).await {
-            link.idle_since = Instant::now();
-            link.written.permitted.set(false);
-            self.put(server, link);
+    async fn recycle(&self, server: ServerId, mut connection: UpstreamConnection) {
+        if let Ok(Ok(())) = timeout(READY_TIMEOUT, connection.sender.ready()).await {
+            connection.idle_since = Instant::now();
+            connection.written.permitted.set(false);
+            self.put_idle(server, connection);
         }
     }
 
@@ -271,16 +286,20 @@
         server: ServerId,
         guard: &Rc<AttemptGuard>,
         until: Instant,
-    ) -> Ended {
-        let sent = Sent::default();
+    ) -> AttemptResult {
+        let progress = SendProgress::default();
         let ended = tokio::select! {
             biased;
-            ended = self.exchange(server, guard, until, &sent) => Some(ended),
-            () = overdue(guard.forward(), until, &sent) => None,
+            ended = self.exchange(server, guard, until, &progress) => Some(ended),
+            () = attempt_timeout(guard.forward(), until, &progress) => None,
         };
         ended.unwrap_or_else(|| {
             // Time ran out before all of it was handed over: it cannot have run.
-            Ended::bare(if sent.never_whole() { Outcome::ConnectFailed } else { Outcome::Timeout })
+            AttemptResult::without_response(if progress.certainly_incomplete() {
+                Outcome::ConnectFailed
+            } else {
+                Outcome::Timeout
+            })
         })
     }
 
@@ -289,48 +308,52 @@
         server: ServerId,
         guard: &Rc<AttemptGuard>,
         until: Instant,
-        sent: &Sent,
-    ) -> Ended {
+        progress: &SendProgress,
+    ) -> AttemptResult {
         let forward = guard.forward();
         loop {
             let address = guard.target().address.get();
-            let pooled = self.take(server, address);
+            let pooled = self.take_idle(server, address);
             let reused = pooled.is_some();
-            let link = match pooled {
-                Some(link) => Some(link),
+            let connection = match pooled {
+                Some(connection) => Some(connection),
                 None => self.connect(server, address).await,
             };
-            let Some(mut link) = link else { return Ended::bare(Outcome::ConnectFailed) };
-            guard.connected(link.address);
+            let Some(mut connection) = connection else {
+                return AttemptResult::without_response(Outcome::ConnectFailed);
+            };
+            guard.set_address(connection.address);
             // The wait for a connection may outlast the request, or the upstream's service.
             match guard.check() {
                 Ok(()) => {}
                 // Another upstream may listen where it was.
                 Err(Denial::UpstreamMoved) => continue,
                 Err(denial) => {
-                    self.put(server, link);
-                    return Ended::denied(denial);
+                    self.put_idle(server, connection);
+                    return AttemptResult::denied(denial);
                 }
             }
-            let Some(request) = forward.request(until, sent, &link.written, guard) else {
-                return Ended::bare(Outcome::NotSent);
+            let Some(request) = forward.request(until, progress, &connection.written, guard) else {
+                return AttemptResult::without_response(Outcome::NotSent);
             };
-            let again = || reused && sent.untouched() && !forward.body.is_spent();
-            let answer = link.sender.send_request(request).await;
+            let can_resend = || reused && progress.nothing_written() && !forward.body.is_spent();
+            let answer = connection.sender.send_request(request).await;
             match guard.denial() {
                 None => {}
                 // On another connection it is told what holds by then.
                 Some(Denial::UpstreamMoved | Denial::DeadlineStale) => continue,
-                Some(denial) => return Ended::denied(denial),
+                Some(denial) => return AttemptResult::denied(denial),
             }
             let answer = match answer {
                 Ok(answer) => answer,
                 // A kept connection that closed before a byte went out is no attempt yet.
-                Err(_) if again() => continue,
-                Err(_) if sent.never_whole() => return Ended::bare(Outcome::ConnectFailed),
-                Err(_) => return Ended::bare(Outcome::Reset),
+                Err(_) if can_resend() => continue,
+                Err(_) if progress.certainly_incomplete() => {
+                    return AttemptResult::without_response(Outcome::ConnectFailed);
+                }
+                Err(_) => return AttemptResult::without_response(Outcome::Reset),
             };
-            return self.answer(forward, server, link, answer).await;
+            return self.answer(forward, server, connection, answer).await;
         }
     }
 
@@ -339,11 +362,11 @@
         self: &Rc<Self>,
         forward: &Forward,
         server: ServerId,
-        link: Link,
+        connection: UpstreamConnection,
         answer: Response<Incoming>,
-    ) -> Ended {
+    ) -> AttemptResult {
         let (head, mut body) = answer.into_parts();
-        let report = report(&self.fields, &head.headers);
+        let report = parse_load_report(&self.fields, &head.headers);
         let not_run = head.headers.get("x-not-run").is_some_and(|v| v == "1");
         let outcome = match head.status {
             StatusCode::OK => Outcome::Ok,
@@ -358,20 +381,20 @@
         let room = length.map_or(KEPT, |n| usize::try_from(n).unwrap_or(usize::MAX));
         let hold = (room <= KEPT && serves).then(|| self.memory.hold(room)).flatten();
         let most = if hold.is_some() || !serves { KEPT } else { 0 };
-        let Ok((kept, whole)) = first_part(&mut body, most, length).await else {
+        let Ok((kept, complete)) = first_part(&mut body, most, length).await else {
             // Cut short: it ran, and there is nothing to pass on.
-            return Ended { report, ..Ended::bare(Outcome::Reset) };
+            return AttemptResult { report, ..AttemptResult::without_response(Outcome::Reset) };
         };
-        let rest = if whole {
-            self.give_back(server, link).await;
+        let rest = if complete {
+            self.recycle(server, connection).await;
             None
         } else {
-            let back = (self.clone(), server, link);
-            Some(StreamedResponse::new(forward, body, kept.len(), length, back))
+            let return_to = (self.clone(), server, connection);
+            Some(StreamedResponse::new(forward, body, kept.len(), length, return_to))
         };
         let response =
             serves.then(|| Box::new(Response::from_parts(head, Served { kept, rest, hold })));
-        Ended { outcome, report, response, denial: None }
+        AttemptResult { outcome, report, response, denial: None }
     }
 }
 
@@ -385,46 +408,46 @@
     if most == 0 || length.is_some_and(|n| n > most as u64) {
         return Ok((Bytes::new(), body.is_end_stream()));
     }
-    let by = Instant::now() + WHOLE_WITHIN;
-    let mut kept = BytesMut::with_capacity(length.map_or(0, |n| n as usize));
+    let by = Instant::now() + COMPLETE_BODY_TIMEOUT;
+    let mut buffered = BytesMut::with_capacity(length.map_or(0, |n| n as usize));
     loop {
         let frame = match length {
             Some(_) => Ok(body.frame().await),
             None => timeout_at(by, body.frame()).await,
         };
         match frame {
-            Ok(None) => return Ok((kept.freeze(), true)),
+            Ok(None) => return Ok((buffered.freeze(), true)),
             Ok(Some(frame)) => {
                 if let Ok(data) = frame?.into_data() {
-                    kept.extend_from_slice(&data);
+                    buffered.extend_from_slice(&data);
                 }
             }
             // Slow; with nothing to pass on yet, it is still waited for.
-            Err(_) if kept.is_empty() => {
-                let Some(frame) = body.frame().await else { return Ok((kept.freeze(), true)) };
+            Err(_) if buffered.is_empty() => {
+                let Some(frame) = body.frame().await else { return Ok((buffered.freeze(), true)) };
                 if let Ok(data) = frame?.into_data() {
-                    kept.extend_from_slice(&data);
+                    buffered.extend_from_slice(&data);
                 }
             }
-            Err(_) => return Ok((kept.freeze(), false)),
+            Err(_) => return Ok((buffered.freeze(), false)),
         }
-        if kept.len() > most {
-            return Ok((kept.freeze(), body.is_end_stream()));
+        if buffered.len() > most {
+            return Ok((buffered.freeze(), body.is_end_stream()));
         }
     }
 }
 
 /// Waits until the time of an attempt is over. While a body is passed on, that is when its upstream has
 /// stopped taking it.
-async fn overdue(forward: &Forward, until: Instant, sent: &Sent) {
+async fn attempt_timeout(forward: &Forward, until: Instant, progress: &SendProgress) {
     let Some(rest) = &forward.body.rest else { return sleep_until(until).await };
     let allowed = until.saturating_duration_since(Instant::now());
     let stalled = async {
-        let (mut seen, mut since) = (sent.bytes(), Instant::now());
-        while since.elapsed() < STALL {
-            sleep(STALL_STEP).await;
-            if rest.waits() || sent.bytes() != seen {
-                (seen, since) = (sent.bytes(), Instant::now());
+        let (mut seen, mut since) = (progress.bytes(), Instant::now());
+        while since.elapsed() < STALL_TIMEOUT {
+            sleep(STALL_CHECK_INTERVAL).await;
+            if rest.waits() || progress.bytes() != seen {
+                (seen, since) = (progress.bytes(), Instant::now());
             }
         }
     };
@@ -439,7 +462,7 @@
 }
 
 /// `X-Load: TEXT name=value, name=value`; what is not understood is left out.
-fn report(fields: &[(String, Field)], headers: &HeaderMap) -> Report {
+fn parse_load_report(fields: &[(String, Field)], headers: &HeaderMap) -> Report {
     let mut report = Report::default();
     let text = headers.get("x-load").and_then(|v| v.to_str().ok());
     let Some(text) = text.and_then(|t| t.trim().strip_prefix("TEXT")) else { return report };
@@ -456,27 +479,27 @@
 
 /// How much of a request was handed to the kernel.
 #[derive(Default)]
-struct Sent {
+struct SendProgress {
     written: RefCell<Option<(Written, u64)>>,
     due: RefCell<Due>,
 }
 
-impl Sent {
+impl SendProgress {
     fn start(&self, written: &Written, due: Due) {
         let from = written.bytes.get();
         // Where more may come, it is set once all of it was given.
-        written.whole_at.set(due.all.get().then(|| from + due.bytes.get()));
+        written.complete_at.set(due.all.get().then(|| from + due.bytes.get()));
         self.written.replace(Some((written.clone(), from)));
         self.due.replace(due);
     }
     fn bytes(&self) -> u64 {
         self.written.borrow().as_ref().map_or(0, |(w, from)| w.bytes.get() - from)
     }
-    fn untouched(&self) -> bool {
+    fn nothing_written(&self) -> bool {
         self.bytes() == 0
     }
     /// Its last byte is certainly not out; in doubt it is.
-    fn never_whole(&self) -> bool {
+    fn certainly_incomplete(&self) -> bool {
         let due = self.due.borrow();
         !due.all.get() || self.bytes() < due.bytes.get().max(1)
     }
@@ -486,19 +509,19 @@
     fn request(
         &self,
         until: Instant,
-        sent: &Sent,
+        progress: &SendProgress,
         written: &Written,
         guard: &Rc<AttemptGuard>,
     ) -> Option<Request<Outgoing>> {
         let due = Due::default();
         let (from, of, all) = (written.bytes.get(), written.clone(), due.clone());
-        let given = move || of.whole_at.set(Some(from + all.bytes.get()));
+        let given = move || of.complete_at.set(Some(from + all.bytes.get()));
         let mut request = Request::new(Outgoing::new(&self.body, due.clone(), Box::new(given)));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
         let left = until.saturating_duration_since(Instant::now());
-        guard.tells(left);
+        guard.set_sent_deadline(left);
         written.guard.replace(Some(guard.clone()));
         let left = HeaderValue::from_str(&left.as_millis().to_string()).ok()?;
         request.headers_mut().insert("x-deadline-ms", left);
@@ -506,7 +529,7 @@
         let head: usize =
             request.headers().iter().map(|(n, v)| n.as_str().len() + v.len() + 4).sum();
         due.bytes.set(due.bytes.get() + head as u64);
-        sent.start(written, due);
+        progress.start(written, due);
         Some(request)
     }
 }
--- a/src/bin/hollowpaddle/upstreams/connection.rs
+++ b/src/bin/hollowpaddle/upstreams/connection.rs
@@ -23,9 +23,9 @@
 pub(super) struct Written {
     pub(super) bytes: Rc<Cell<u64>>,
     /// At so many, the attempt that is out is whole.
-    pub(super) whole_at: Rc<Cell<Option<u64>>>,
+    pub(super) complete_at: Rc<Cell<Option<u64>>>,
     /// Attempts that were whole, on all connections.
-    pub(super) tries: Counter,
+    pub(super) attempts_sent: Counter,
     /// Of the attempt that has not begun yet.
     pub(super) guard: Rc<RefCell<Option<Rc<AttemptGuard>>>>,
     /// Whether the attempt that is out had its guard's permission.
@@ -50,10 +50,10 @@
         let written = written?;
         if let Some(guard) = guard {
             self.permitted.set(true);
-            guard.begun();
+            guard.record_start();
         }
         if !self.permitted.get() {
-            AttemptGuard::unguarded(&self.violations);
+            AttemptGuard::record_unguarded(&self.violations);
         }
         self.add(written);
         Poll::Ready(Ok(written))
@@ -61,20 +61,20 @@
 
     pub(super) fn add(&self, n: usize) {
         self.bytes.set(self.bytes.get() + n as u64);
-        if self.whole_at.get().is_some_and(|at| self.bytes.get() >= at) {
-            self.whole_at.set(None);
-            self.tries.inc();
+        if self.complete_at.get().is_some_and(|at| self.bytes.get() >= at) {
+            self.complete_at.set(None);
+            self.attempts_sent.inc();
         }
     }
 }
 
 /// A stream that counts what is written.
-pub(super) struct Counted {
+pub(super) struct CountedIo {
     pub(super) inner: TokioIo<Socket>,
     pub(super) written: Written,
 }
 
-impl Read for Counted {
+impl Read for CountedIo {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -84,7 +84,7 @@
     }
 }
 
-impl Write for Counted {
+impl Write for CountedIo {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -117,7 +117,7 @@
 }
 
 /// A connection that no attempt is using, or that one attempt is.
-pub(super) struct Link {
+pub(super) struct UpstreamConnection {
     pub(super) sender: SendRequest<Outgoing>,
     pub(super) written: Written,
     pub(super) peer: Peer,
@@ -126,25 +126,25 @@
     pub(super) _connection: AbortOnDrop,
 }
 
-impl Link {
+impl UpstreamConnection {
     /// Guards against a close that has arrived and that the connection's own task has not been woken for yet:
     /// when it came in the same moment as a request, the request was written first, and was lost as a reset.
-    pub(super) fn at_rest(&self) -> Unread {
+    pub(super) fn unread_input(&self) -> Unread {
         self.peer.unread()
     }
 }
 
 /// Counts a descriptor for as long as it is open.
-pub(super) struct Open(Rc<Cell<usize>>);
+pub(super) struct OpenConnectionGuard(Rc<Cell<usize>>);
 
-impl Open {
+impl OpenConnectionGuard {
     pub(super) fn new(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
         Self(count.clone())
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/src/bin/hollowpaddle/upstreams/streamed_response.rs
+++ b/src/bin/hollowpaddle/upstreams/streamed_response.rs
@@ -10,30 +10,30 @@
 use hyper::body::{Body, Incoming};
 use tokio::time::{Instant, Sleep, sleep};
 
-use super::connection::Link;
-use super::{Forward, Pool, STALL};
+use super::connection::UpstreamConnection;
+use super::{Forward, Pool, STALL_TIMEOUT};
 use crate::bodies::{Broken, KEPT};
 
 /// An answer that may be small has to end this long after its client's time at the latest (STANDING: half a second).
-const END_WITHIN: Duration = Duration::from_millis(300);
+const END_GRACE: Duration = Duration::from_millis(300);
 /// Bytes a second from which on an answer of unknown size passes for a large one, however little of it came yet.
-const LARGE_RATE: f64 = 24_000.0;
+const LARGE_RATE_BYTES_PER_S: f64 = 24_000.0;
 
 /// The rest of an answer, on its way from an upstream. Dropped before its end, it closes the connection.
 pub struct StreamedResponse {
     /// The id of the request that it answers.
     request: Option<String>,
     body: Incoming,
-    back: Option<(Rc<Pool>, ServerId, Link)>,
-    since: Option<Instant>,
-    began: Instant,
+    return_to: Option<(Rc<Pool>, ServerId, UpstreamConnection)>,
+    waiting_since: Option<Instant>,
+    started_at: Instant,
     /// By when it has to be over, unless it is large.
     end_by: Instant,
     /// Its whole size, or what has come so far; and whether it is the size.
     size: u64,
-    sized: bool,
+    size_known: bool,
     timer: Pin<Box<Sleep>>,
-    over: bool,
+    finished: bool,
 }
 
 impl StreamedResponse {
@@ -41,33 +41,33 @@
     pub(super) fn new(
         forward: &Forward,
         body: Incoming,
-        kept: usize,
+        received: usize,
         length: Option<u64>,
-        back: (Rc<Pool>, ServerId, Link),
+        return_to: (Rc<Pool>, ServerId, UpstreamConnection),
     ) -> Self {
         Self {
             request: forward.id().map(str::to_owned),
             body,
-            back: Some(back),
-            since: None,
-            began: Instant::now(),
-            end_by: forward.until.get() + END_WITHIN,
-            size: length.unwrap_or(kept as u64),
-            sized: length.is_some(),
-            timer: Box::pin(sleep(STALL)),
-            over: false,
+            return_to: Some(return_to),
+            waiting_since: None,
+            started_at: Instant::now(),
+            end_by: forward.until.get() + END_GRACE,
+            size: length.unwrap_or(received as u64),
+            size_known: length.is_some(),
+            timer: Box::pin(sleep(STALL_TIMEOUT)),
+            finished: false,
         }
     }
 
     /// How long its next piece is waited for, from now on. Of a large answer its first bytes are what is timed;
     /// any other has to end, or be seen to be cut, soon after its client's time.
-    fn patience(&self, now: Instant) -> Instant {
-        let stalled = now + STALL;
+    fn next_piece_deadline(&self, now: Instant) -> Instant {
+        let stalled = now + STALL_TIMEOUT;
         if self.size > KEPT as u64 {
             return stalled;
         }
-        let pace = if self.sized { 0.0 } else { self.size as f64 / LARGE_RATE };
-        stalled.min(self.end_by.max(self.began + Duration::from_secs_f64(pace)))
+        let pace = if self.size_known { 0.0 } else { self.size as f64 / LARGE_RATE_BYTES_PER_S };
+        stalled.min(self.end_by.max(self.started_at + Duration::from_secs_f64(pace)))
     }
 
     /// What is left of it, where that is known.
@@ -77,13 +77,13 @@
 
     /// Whether all of it was passed on.
     pub fn is_over(&self) -> bool {
-        self.over
+        self.finished
     }
 
     fn end(&mut self) {
-        self.over = true;
-        if let Some((pool, server, link)) = self.back.take() {
-            tokio::task::spawn_local(async move { pool.give_back(server, link).await });
+        self.finished = true;
+        if let Some((pool, server, connection)) = self.return_to.take() {
+            tokio::task::spawn_local(async move { pool.recycle(server, connection).await });
         }
     }
 
@@ -92,10 +92,10 @@
         loop {
             match Pin::new(&mut self.body).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
-                    self.since = None;
+                    self.waiting_since = None;
                     // Trailers concern nobody here.
                     let Ok(data) = frame.into_data() else { continue };
-                    if !self.sized {
+                    if !self.size_known {
                         self.size += data.len() as u64;
                     }
                     if self.body.is_end_stream() {
@@ -112,10 +112,10 @@
                     return Poll::Ready(None);
                 }
                 Poll::Pending => {
-                    if self.since.is_none() {
+                    if self.waiting_since.is_none() {
                         let now = Instant::now();
-                        self.since = Some(now);
-                        let until = self.patience(now);
+                        self.waiting_since = Some(now);
+                        let until = self.next_piece_deadline(now);
                         self.timer.as_mut().reset(until);
                     }
                     ready!(self.timer.as_mut().poll(cx));
--- a/src/bin/hollowpaddle/upstreams/tests.rs
+++ b/src/bin/hollowpaddle/upstreams/tests.rs
@@ -6,7 +6,7 @@
     let read = |text: &str| {
         let mut headers = HeaderMap::new();
         headers.insert("x-load", text.parse().expect("a header"));
-        let r = report(&fields, &headers);
+        let r = parse_load_report(&fields, &headers);
         (r.eps, r.qps, r.inflight)
     };
     assert_eq!(read("TEXT eps=0.5, qps=140, inflight=7"), (Some(0.5), Some(140.0), Some(7.0)));
@@ -31,18 +31,21 @@
     let live = Rc::new(Cell::new(true));
     let (before, violations) = (Instant::now(), Violations::default());
     let guard = AttemptGuard::new(forward.clone(), live, Rc::new(nowhere), before, violations);
-    let sent = Sent::default();
-    assert!(sent.untouched() && sent.never_whole(), "no connection yet");
+    let progress = SendProgress::default();
+    assert!(progress.nothing_written() && progress.certainly_incomplete(), "no connection yet");
     let written = Written::default();
     written.bytes.set(1000); // An earlier request on the same connection.
-    assert!(forward.request(Instant::now(), &sent, &written, &guard).is_some());
-    assert!(sent.untouched() && sent.never_whole());
+    assert!(forward.request(Instant::now(), &progress, &written, &guard).is_some());
+    assert!(progress.nothing_written() && progress.certainly_incomplete());
     written.add(10);
-    assert!(!sent.untouched() && sent.never_whole(), "head and body are longer than the body");
-    assert_eq!(written.tries.get(), 0);
+    assert!(
+        !progress.nothing_written() && progress.certainly_incomplete(),
+        "head and body are longer than the body"
+    );
+    assert_eq!(written.attempts_sent.get(), 0);
     // `POST /api HTTP/1.1`, X-Deadline-Ms and the body, and not a byte less.
-    let whole = "POST /api HTTP/1.1\r\nx-deadline-ms: 0\r\n\r\n0123456789".len();
-    written.add(whole - 10);
-    assert!(!sent.never_whole());
-    assert_eq!(written.tries.get(), 1, "and it counts as a try, once");
+    let complete = "POST /api HTTP/1.1\r\nx-deadline-ms: 0\r\n\r\n0123456789".len();
+    written.add(complete - 10);
+    assert!(!progress.certainly_incomplete());
+    assert_eq!(written.attempts_sent.get(), 1, "and it counts as a try, once");
 }
