--- a/src/bin/hollowpaddle/engine.rs
+++ b/src/bin/hollowpaddle/engine.rs
@@ -1,5 +1,5 @@
-//! Owns the decision module, the table of requests and the timers. Feeds the module every event in the
-//! order it came, and carries out its actions in the order it gave them. Decides nothing.
+//! The engine owns the policy (the decision module), the request table and the timers. It passes every event to
+//! the policy in order of arrival and executes the returned actions in order. It makes no decisions itself.
 
 mod handle;
 mod upstream_table;
@@ -35,25 +35,26 @@
 pub use handle::{Arrival, Handle, Reply};
 use upstream_table::UpstreamTable;
 
-/// The module works to this much less than the client's deadline, so that an answer at the deadline still
-/// arrives: the way to the client, and a busy moment here. Of a short time it is a quarter.
+/// The policy's deadline is this much before the client's, which leaves time to deliver the response and for
+/// scheduling delay in this process. Capped at a quarter of the remaining time.
 const MAX_HEADROOM: Duration = Duration::from_millis(15);
 const HEADROOM_DIVISOR: u32 = 4;
-/// At this part of that the engine answers itself, should the module still owe one.
+/// The engine answers by itself once only this fraction of the headroom is left and the policy has not answered.
 const BACKSTOP_DIVISOR: u32 = 3;
 
-/// A process that stood still for more than this part of the grace of a drain reads its news first.
+/// After a stall longer than this fraction of the drain grace, pending list updates are processed before requests.
 const STALL_GRACE_DIVISOR: u32 = 4;
 
-/// Where services may rest, a timer fires so often all the same: else nothing would tell that the process stood still.
+/// With several services, all of them may be idle and have no timer set. This periodic timer makes process stalls
+/// detectable in that case too.
 const STALL_TIMER_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What is asked of the list service: the members of the services that there are, or all.
+/// The filter for the list service: members of the configured services, or all members.
 fn filter(catalog: &Catalog) -> Filter {
     catalog.names().map_or_else(Filter::all, Filter::services)
 }
 
-/// The services with the names of their classes, for figures.
+/// The name of each service with the names of its classes, for metrics.
 pub fn service_classes(
     catalog: &Catalog,
 ) -> impl Iterator<Item = (&str, impl Iterator<Item = &str>)> {
@@ -64,26 +65,26 @@
     catalog.services.iter().map(names)
 }
 
-/// How much earlier than this the module has to be done with a request that comes now.
+/// The time between the policy's deadline and the client's deadline `until`, for a request that arrives now.
 fn headroom(until: Instant, now: Instant) -> Duration {
     MAX_HEADROOM.min(until.saturating_duration_since(now) / HEADROOM_DIVISOR)
 }
 
-/// When the engine answers, should the module still owe one that has this much headroom.
+/// When the engine answers by itself if the policy has not answered a request with this headroom.
 fn backstop(until: Instant, headroom: Duration) -> Instant {
     until - headroom / BACKSTOP_DIVISOR
 }
 
-/// A request that is owed an answer, or has attempts out.
+/// A request that is unanswered or has attempts in flight.
 struct PendingRequest {
     service: ServiceId,
     forward: Rc<Forward>,
-    /// Taken by the final answer.
+    /// `None` once the final answer has been sent.
     reply: Option<oneshot::Sender<Reply>>,
-    /// Read by attempts right before they go on the wire.
+    /// Shared with the attempts, which check it right before their first byte is written.
     unanswered: Rc<Cell<bool>>,
     policy_deadline: Instant,
-    /// While its body is still coming: the time it has from the last byte on.
+    /// Set while the request body is still incomplete: the time allowed after its last byte.
     time_after_body: Option<Duration>,
     attempts: Vec<Attempt>,
     last_outcome: Option<Outcome>,
@@ -92,7 +93,7 @@
 struct Attempt {
     server: ServerId,
     sent_at: Instant,
-    /// Present while it is out; dropping it closes its connection.
+    /// `Some` while the attempt is in flight; dropping it closes the connection.
     task: Option<AbortOnDrop>,
 }
 
@@ -105,19 +106,20 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum TimerKind {
     Policy(ServiceId, u64),
-    /// Nothing but a sign of life.
+    /// Has no effect of its own; a late firing reveals a process stall.
     StallCheck,
     Deadline(RequestId),
 }
 
-/// An event of the engine's own making, told once the present actions are carried out.
+/// The end of an attempt that the engine itself cancelled or did not start. Passed to the policy only after the
+/// current actions have been executed.
 type DeferredEnd = (RequestId, usize, AttemptResult);
 
 pub struct Engine {
     services: Services,
     clock: Clock,
     messages: mpsc::UnboundedReceiver<EngineMessage>,
-    /// Of the list; these come before all notes.
+    /// From the list client; processed before all messages.
     list_updates: mpsc::UnboundedReceiver<News>,
     message_sender: mpsc::UnboundedSender<EngineMessage>,
     requests: FxHashMap<RequestId, PendingRequest>,
@@ -130,20 +132,20 @@
     routing: Rc<RefCell<Rc<Routing>>>,
     figures: Rc<Figures>,
     keeper: Option<Keeper>,
-    /// Once the process ends: no answer may be later.
+    /// Set at shutdown: the latest time for any answer.
     shutdown_deadline: Option<Instant>,
-    /// To the client of the list.
+    /// To the list client.
     orders: mpsc::UnboundedSender<Order>,
     lateness: Rc<Lateness>,
-    /// A timer that fires so late tells that the process stood still for too long to know its list.
+    /// If a timer fires later than this, the process stalled for so long that its list may be outdated.
     stall: Duration,
     _client: AbortOnDrop,
     second_copies: bool,
     max_attempts: usize,
 }
 
-/// The module's clock: monotonic, and set once to Unix time so that the list's times need no further
-/// mapping.
+/// The policy's clock: monotonic, with its origin set once from Unix time so that times in the list need no
+/// conversion.
 #[derive(Clone, Copy)]
 struct Clock {
     start: Instant,
@@ -154,7 +156,7 @@
     fn new() -> Self {
         Self { start: Instant::now(), unix_us: Self::wall().0 }
     }
-    /// The wall clock as it reads now; it may have been stepped since the start.
+    /// The current wall clock time, which may have been stepped since the process started.
     fn wall() -> Time {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Time(unix.as_micros() as i64)
@@ -171,8 +173,11 @@
 }
 
 impl Engine {
-    /// `keeper` holds the last list on disk, where there is one; the newer of its list and the configuration's
-    /// is served from until discovery tells more.
+    /// `keeper` is the on-disk list cache, if configured. Until discovery sends an update, the engine uses the
+    /// cached list or the configured one, whichever has the higher revision.
+    ///
+    /// # Errors
+    /// The policy rejected the settings.
     pub fn new(
         config: &Config,
         pool: Rc<Pool>,
@@ -199,7 +204,7 @@
             keeper.as_ref().map(Keeper::list).filter(|l| l.revision > config.known.revision);
         let mut known = cached.unwrap_or(&config.known).clone();
         let narrowed = config.catalog.narrow(&mut known);
-        // What is kept from now on are changes to the list that is held.
+        // Later writes to the cache are changes relative to the list in use, so the cache has to start from it.
         if let (true, Some(keeper)) = (cached.is_none() || narrowed.changed, &keeper) {
             keeper.keep(known.clone());
         }
@@ -270,8 +275,8 @@
             };
             self.lateness.record_wakeup(Instant::now());
             if let Some(late) = due.map(|due| due.elapsed()).filter(|late| *late > self.stall) {
-                tracing::warn!(?late, "the process stood still");
-                // What it was told meanwhile holds, though it may come behind what it is asked.
+                tracing::warn!(?late, "process stalled; processing list updates before requests");
+                // Updates sent during the stall are in force, but may be read after requests that came with them.
                 settle(|| false).await;
                 while let Ok(update) = self.list_updates.try_recv() {
                     self.on_list_update(update);
@@ -318,7 +323,8 @@
                 self.on_attempt_ended(id, attempt, result);
                 self.process_deferred_ends();
             }
-            // At once: the old address soon ends its watch, and what is missed meanwhile counts as told.
+            // Sent without delay: the old address soon closes its watch, and updates missed in between count as
+            // delivered.
             EngineMessage::DiscoveryMoved(addresses) => self.send_order(Order::Moved(addresses)),
             EngineMessage::Reload(catalog) => self.reload(catalog),
             EngineMessage::Shutdown(by) => {
@@ -355,11 +361,11 @@
         }
     }
 
-    /// Puts other services and routes in force, or leaves what is.
+    /// Applies a new set of services and routes, or keeps the current one if the new one is not acceptable.
     fn reload(&mut self, catalog: Option<Rc<Catalog>>) {
         let single = self.services.routing().catalog.is_single();
         let reloaded = match catalog {
-            // Its settings are read at the start alone.
+            // The settings of a single-service configuration are read only at startup.
             None if single => return,
             None => Err(ReloadError::Kind),
             Some(catalog) => self.services.reload(catalog, self.clock.now()),
@@ -367,12 +373,12 @@
         let reloaded = match reloaded {
             Ok(reloaded) => reloaded,
             Err(cause) => {
-                tracing::warn!(%cause, "the new services are left aside");
+                tracing::warn!(%cause, "reload rejected; keeping the current services and routes");
                 return;
             }
         };
         let (added, removed) = (reloaded.added, reloaded.removed.len());
-        tracing::info!(added, removed, "other services and routes are in force");
+        tracing::info!(added, removed, "services and routes reloaded");
         for (name, classes) in service_classes(&reloaded.routing.catalog) {
             self.figures.serve(name, classes);
         }
@@ -396,7 +402,7 @@
     }
 
     fn send_order(&self, order: Order) {
-        // Its client lives as long as the engine.
+        // Cannot fail: the list client lives as long as the engine.
         let _ = self.orders.send(order);
     }
 
@@ -428,7 +434,7 @@
         self.requests.insert(id, pending);
         self.services.opened(service);
         if !self.services.serves(service) {
-            // It was routed a moment before its service was removed.
+            // The service was removed after the request had been routed.
             self.give_up(id);
             return self.remove_if_done(id);
         }
@@ -449,18 +455,21 @@
         self.notify_policy(service, Event::Request(request));
     }
 
-    /// Its client has closed its connection: nothing more is begun for it.
+    /// The client has closed its connection: no further attempts are started.
     fn on_client_left(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get_mut(&id) else { return };
         if pending.reply.take().is_some() {
             pending.unanswered.set(false);
-            tracing::debug!(request = pending.forward.id(), "its client has left");
+            tracing::debug!(
+                request = pending.forward.id(),
+                "client closed the connection before its answer"
+            );
             let service = pending.service;
             self.run_policy(service, Event::Left(id));
         }
     }
 
-    /// The last byte of its body has come: its time runs from here.
+    /// The last byte of the request body has arrived: its deadline counts from here.
     fn on_body_complete(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get_mut(&id) else { return };
         let Some(time) = pending.time_after_body.take() else { return };
@@ -476,22 +485,25 @@
         self.notify_policy(service, Event::Whole(id));
     }
 
-    /// When a client that waits until then has to be answered.
+    /// The client's deadline, moved forward to the shutdown deadline if that is earlier.
     fn client_deadline(&self, until: Instant) -> Instant {
         self.shutdown_deadline.map_or(until, |by| by.min(until))
     }
 
-    /// Guards against a request that the module still owes its answer when the client, or the platform, is about
-    /// to give up.
+    /// Answers a request that the policy has left unanswered until just before the client's deadline, or the
+    /// platform's shutdown deadline.
     fn on_deadline(&mut self, id: RequestId) {
         if self.give_up(id) {
             let request = self.requests.get(&id).and_then(|r| r.forward.id());
-            tracing::warn!(request, "answered at the deadline");
+            tracing::warn!(
+                request,
+                "policy did not answer in time; answered by the engine at the deadline"
+            );
         }
         self.remove_if_done(id);
     }
 
-    /// Answers a request here that the module still owes its answer; false where it has one.
+    /// Answers a request in place of the policy; returns false if it is already answered.
     fn give_up(&mut self, id: RequestId) -> bool {
         let Some(pending) = self.requests.get(&id) else { return false };
         let (service, untried) = (pending.service, pending.attempts.is_empty());
@@ -507,7 +519,7 @@
         given
     }
 
-    /// Gives the final answer, unless there was one.
+    /// Sends the final answer; returns false if there already was one.
     fn answer(&mut self, id: RequestId, reply: Reply) -> bool {
         let Some(pending) = self.requests.get_mut(&id) else { return false };
         let Some(sender) = pending.reply.take() else { return false };
@@ -520,7 +532,7 @@
 
     fn on_attempt_ended(&mut self, id: RequestId, attempt: usize, result: AttemptResult) {
         if result.denial == Some(Denial::ClientClosed) {
-            // Its connection's task has not come to read the close yet.
+            // The task of the client's connection has not processed the close yet.
             self.on_client_left(id);
         }
         let Some(pending) = self.requests.get_mut(&id) else { return };
@@ -529,12 +541,12 @@
         let (server, latency) = (record.server, record.sent_at.elapsed());
         let (outcome, denial) = (result.outcome, result.denial);
         let request = pending.forward.id();
-        tracing::debug!(request, attempt, ?server, ?outcome, ?denial, ?latency, "an attempt ended");
+        tracing::debug!(request, attempt, ?server, ?outcome, ?denial, ?latency, "attempt ended");
         pending.last_outcome = Some(result.outcome);
         if let Some(figures) = self.upstreams.figures(server) {
             figures.ended(result.outcome, latency);
         }
-        // The first whole answer is the client's; one that comes after the end is dropped.
+        // The first complete response goes to the client; later ones are dropped.
         if let Some(response) = result.response {
             self.answer(id, Reply::Served(response));
         }
@@ -560,7 +572,7 @@
         self.remove_if_done(id);
     }
 
-    /// Drops a request that is answered and has nothing out.
+    /// Removes a request that is answered and has no attempts in flight.
     fn remove_if_done(&mut self, id: RequestId) {
         let over = |r: &PendingRequest| r.reply.is_none() && r.in_flight() == 0;
         if self.requests.get(&id).is_some_and(over)
@@ -586,7 +598,8 @@
         self.ready.set(self.services.any_live());
     }
 
-    /// Tells the module, and carries out what it says until nothing is left to tell.
+    /// Passes an event to the policy and executes its actions, then does the same for the attempts that these
+    /// actions ended.
     fn notify_policy(&mut self, service: ServiceId, event: Event) {
         self.run_policy(service, event);
         self.process_deferred_ends();
@@ -641,7 +654,7 @@
             }
             Action::CloseIdle { server } => self.pool.close_idle(server),
             Action::Subscribe => self.send_order(Order::Ask),
-            // UpstreamTable here take no probes, and the module sends none where that is so.
+            // The upstreams here do not support probes, and the policy sends none in that case.
             Action::Probe { .. } => {}
         }
     }
@@ -673,7 +686,7 @@
         let (forward, unanswered) = (pending.forward.clone(), pending.unanswered.clone());
         let (before, violations) = (self.clock.instant(before), self.figures.violations.clone());
         let guard = AttemptGuard::new(forward, unanswered, target, before, violations);
-        tracing::debug!(request = pending.forward.id(), attempt, ?server, "an attempt begins");
+        tracing::debug!(request = pending.forward.id(), attempt, ?server, "attempt started");
         if let Err(denial) = guard.check() {
             pending.attempts.push(record);
             self.deferred_ends.push_back((id, attempt, AttemptResult::denied(denial)));
--- a/src/bin/hollowpaddle/engine/handle.rs
+++ b/src/bin/hollowpaddle/engine/handle.rs
@@ -1,4 +1,4 @@
-//! The engine as clients' connections and signals see it: what it is told, and what it answers.
+//! The interface of the engine for client connections and signal handlers: the messages it takes and its replies.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use crate::lateness::Lateness;
 use crate::upstreams::{AttemptResult, Forward};
 
-/// What the engine is told.
+/// A message to the engine.
 pub(super) enum EngineMessage {
     Arrived {
         id: RequestId,
@@ -23,7 +23,7 @@
         reply: oneshot::Sender<Reply>,
     },
     Left(RequestId),
-    /// The body of a request that arrived before it was whole is whole now.
+    /// The last byte of the body has arrived; sent only for a request that was submitted with an incomplete body.
     BodyComplete(RequestId),
     AttemptEnded {
         id: RequestId,
@@ -31,27 +31,27 @@
         result: AttemptResult,
     },
     DiscoveryMoved(Vec<SocketAddr>),
-    /// These services and routes are to be in force.
+    /// Apply these services and routes.
     Reload(Option<Rc<Catalog>>),
-    /// The process ends; by then all that was taken has to be answered.
+    /// The process shuts down; all accepted requests have to be answered by then.
     Shutdown(Instant),
-    /// How many upstreams the list names, and how many of them the module avoids.
+    /// Query: the number of upstreams in the list, and how many of them the policy currently avoids.
     UpstreamCounts(oneshot::Sender<(usize, usize)>),
 }
 
-/// A request as the module needs to know it.
+/// The properties of a request that the policy needs.
 pub struct Arrival {
     pub service: ServiceId,
     pub class: usize,
     pub tenant: usize,
     pub key: Option<u64>,
-    /// When the client gives up.
+    /// The client's deadline.
     pub until: Instant,
     pub cost_guess: Option<Span>,
     pub resent: bool,
 }
 
-/// The one final answer.
+/// The final answer to a request; there is exactly one.
 pub enum Reply {
     Served(Box<Response<Served>>),
     Refused { retry_after: Span },
@@ -59,7 +59,7 @@
 }
 
 impl Reply {
-    /// Its kind, for the log.
+    /// The kind of the reply, for the log.
     pub(super) fn name(&self) -> &'static str {
         match self {
             Reply::Served(_) => "served",
@@ -70,7 +70,7 @@
     }
 }
 
-/// The engine as clients' connections and signals see it.
+/// A cloneable handle to the engine, for client connections and signal handlers.
 #[derive(Clone)]
 pub struct Handle {
     pub(super) messages: mpsc::UnboundedSender<EngineMessage>,
@@ -81,46 +81,49 @@
 }
 
 impl Handle {
-    /// The earliest moment at which what is read now may have come.
+    /// The earliest time at which data that is read now may have arrived in the kernel.
     pub fn earliest_arrival(&self) -> Instant {
         self.lateness.earliest_arrival(Instant::now())
     }
 
-    /// Which request is whose, as it is in force now.
+    /// The current routing: which service a request belongs to.
     pub fn routing(&self) -> Rc<Routing> {
         self.routing.borrow().clone()
     }
 
-    /// These services and routes are to be in force, if they can take the place of those that are; `None` for a
-    /// configuration that names no services.
+    /// Applies these services and routes if they can replace the current ones; `None` stands for a configuration
+    /// that names no services.
     pub fn reload(&self, catalog: Option<Rc<Catalog>>) {
         let _ = self.messages.send(EngineMessage::Reload(catalog));
     }
 
-    /// Whether there is anywhere to send to.
+    /// Whether any upstream is available.
     pub fn ready(&self) -> bool {
         self.ready.get()
     }
 
-    /// The list is to be had from these addresses from now on.
+    /// Switches the list client to these discovery addresses.
     pub fn discovery_moved(&self, addresses: Vec<SocketAddr>) {
         let _ = self.messages.send(EngineMessage::DiscoveryMoved(addresses));
     }
 
-    /// All that is taken, now or later, is answered by then.
+    /// Makes the engine answer all requests, including ones submitted later, by this time.
     pub fn shut_down_by(&self, by: Instant) {
         let _ = self.messages.send(EngineMessage::Shutdown(by));
     }
 
-    /// How many upstreams the list names, and how many of them get nothing now.
+    /// The number of upstreams in the list, and how many of them currently receive no requests.
     pub async fn upstream_counts(&self) -> (usize, usize) {
         let (reply, answer) = oneshot::channel();
         let _ = self.messages.send(EngineMessage::UpstreamCounts(reply));
         answer.await.unwrap_or_default()
     }
 
-    /// Hands in a request and waits for its answer. Dropped before that, it tells that the client left. Of a
-    /// body that is still coming, `whole` is told its end; one that breaks has no answer.
+    /// Submits a request and waits for its answer. If the future is dropped before that, the engine is notified
+    /// that the client has left. If the body is still incomplete, `on_body_complete` is called after its last byte.
+    ///
+    /// # Errors
+    /// The body ended early or was rejected; such a request gets no reply from the engine.
     pub async fn submit(
         &self,
         arrival: Arrival,
@@ -158,7 +161,7 @@
     }
 }
 
-/// Tells of a client that went away before its answer.
+/// Notifies the engine, when dropped, that the client left before its answer.
 struct NotifyLeftOnDrop<'a> {
     id: RequestId,
     messages: Option<&'a mpsc::UnboundedSender<EngineMessage>>,
--- a/src/bin/hollowpaddle/engine/tests.rs
+++ b/src/bin/hollowpaddle/engine/tests.rs
@@ -15,9 +15,9 @@
 const MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn module_and_engine_are_done_before_the_client_gives_up() {
+fn policy_and_engine_deadlines_precede_the_client_deadline() {
     let now = Instant::now();
-    // Microseconds that the client waits, and when the module and the engine are done.
+    // In microseconds: the client's deadline, the policy's, and the engine's.
     let table = [
         (1_500_000, 1_485_000, 1_495_000),
         (60_000, 45_000, 55_000),
@@ -34,7 +34,7 @@
     assert_eq!(headroom(now, now + MS), Duration::ZERO, "its time was up before it came");
 }
 
-/// An engine with one upstream at this address, the example's settings, and no list service.
+/// An engine with one upstream at this address and the settings of `examples/proxy.json`, without a list service.
 fn engine(upstream: SocketAddr) -> (Engine, Handle) {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/proxy.json");
     let file = std::fs::read_to_string(file).expect("the example");
@@ -61,7 +61,7 @@
     Engine::new(&config, pool, figures, None).expect("an engine")
 }
 
-/// A connection with a client, and the client's end of it.
+/// A client connection and the client's end of it.
 fn connected() -> (Socket, std::net::TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -71,18 +71,18 @@
     (Socket::new(TcpStream::from_std(stream).expect("a runtime")), client)
 }
 
-/// In virtual time, which passes only where nothing is left to do: how busy the machine is does not come in.
-/// The same with sockets, and with the client at the other end: `tests/node.rs`.
+/// Runs in virtual time, which advances only when all tasks are idle, so machine load has no influence.
+/// `tests/node.rs` tests the same with real sockets and a client.
 #[test]
-fn a_request_at_a_silent_upstream_is_given_up_by_the_time_that_the_module_has() {
-    // Its backlog takes connections, and nobody reads what comes.
+fn request_to_a_silent_upstream_fails_at_the_policy_deadline() {
+    // The kernel accepts connections into the backlog, and nothing reads from them.
     let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = silent.local_addr().expect("an address");
     let mut runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = runtime.enable_all().start_paused(true).build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let (client, _peer) = connected();
-        // The aim, 2 s, is later than each deadline, so that only the deadline can end it.
+        // The aim of 2 s is later than each deadline, so only the deadline can end the request.
         for (deadline, policy) in [(1500, 1485), (900, 885)] {
             let (engine, handle) = engine(address);
             let _engine = AbortOnDrop(tokio::task::spawn_local(engine.run()));
@@ -116,7 +116,7 @@
                 Ok(Reply::Served(_)) => "served",
                 Err(_) => "broken",
             };
-            // Timers are a millisecond apart.
+            // Timers have a resolution of 1 ms.
             let by = policy * MS..=(policy + 1) * MS;
             assert_eq!((kind, by.contains(&took)), ("late", true), "of {deadline} ms: {took:?}");
         }
--- a/src/bin/hollowpaddle/engine/upstream_table.rs
+++ b/src/bin/hollowpaddle/engine/upstream_table.rs
@@ -1,4 +1,4 @@
-//! The upstreams as connections know them.
+//! Connection targets and metrics of the upstreams.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,11 +9,11 @@
 
 use crate::upstreams::{Pool, Target};
 
-/// The upstreams as connections know them, by the module's handle.
+/// The connection target and metrics of each upstream, indexed by the policy's `ServerId`.
 #[derive(Default)]
 pub(super) struct UpstreamTable {
     pub(super) targets: Vec<Rc<Target>>,
-    /// Of the same upstreams, where operators can ask for them.
+    /// Metrics of the same upstreams; `None` for an upstream that is gone, and where metrics are off.
     pub(super) figures: Vec<Option<figures::Upstream>>,
 }
 
@@ -26,10 +26,10 @@
         self.figures.get(server.0 as usize)?.as_ref()
     }
 
-    /// Takes in what became of an upstream.
+    /// Applies a change of one upstream.
     pub(super) fn apply(&mut self, change: &Change, pool: &Pool, figures: &Figures) {
         let at = change.server.0 as usize;
-        // Handles count up from 0, in the order in which upstreams are first named.
+        // Server ids count up from 0, in the order in which upstreams are first listed.
         if at == self.targets.len() {
             let target = Target { address: Cell::new(change.address), closed: Cell::new(false) };
             self.targets.push(Rc::new(target));
--- a/src/bin/hollowpaddle/guard.rs
+++ b/src/bin/hollowpaddle/guard.rs
@@ -1,5 +1,5 @@
-//! The one guard before each attempt: gathers what holds at that moment, lets [`permit`] decide, and checks after
-//! the write what may have changed meanwhile.
+//! The check before each attempt. Gathers the current facts, lets [`permit`] decide, and checks after the write
+//! whether a rule was broken between the check and the write.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -12,29 +12,30 @@
 
 use crate::upstreams::{Forward, Target};
 
-/// A look at the client's connection holds for so long: far less than an attempt may begin after a close.
+/// How long a check of the client's connection stays valid: far less than `permit::AFTER_CLOSE`, the time after a
+/// close in which an attempt may still begin.
 const CLIENT_CHECK_VALIDITY: Duration = Duration::from_millis(5);
 
-/// What one attempt at an upstream depends on until its first byte is out.
+/// The state that decides whether one attempt may start, up to its first byte on the wire.
 pub struct AttemptGuard {
     forward: Rc<Forward>,
-    /// Cleared once the request has its answer.
+    /// False once the request has its answer.
     unanswered: Rc<Cell<bool>>,
     target: Rc<Target>,
-    /// The last moment at which the attempt may begin.
+    /// The latest time at which the attempt may start.
     latest_start: Instant,
-    /// Where the connection in use leads.
+    /// The remote address of the connection in use.
     address: Cell<Option<SocketAddr>>,
-    /// The deadline that the request tells the upstream.
+    /// The deadline in the request's `X-Deadline-Ms` header to the upstream.
     sent_deadline: Cell<Option<Duration>>,
-    /// When the client was last seen to be there.
+    /// When the client's connection was last seen to be open.
     client_seen: Cell<Option<Instant>>,
     denial: Cell<Option<Denial>>,
     violations: Violations,
 }
 
 impl AttemptGuard {
-    /// The guard of an attempt that may begin until `before`.
+    /// The guard of an attempt that may start until `latest_start`.
     pub fn new(
         forward: Rc<Forward>,
         unanswered: Rc<Cell<bool>>,
@@ -55,7 +56,7 @@
         })
     }
 
-    /// The request that the attempt is of.
+    /// The request that the attempt carries.
     pub fn forward(&self) -> &Forward {
         &self.forward
     }
@@ -65,21 +66,21 @@
         &self.target
     }
 
-    /// A connection to this address is used from now on.
+    /// Sets the remote address after a connection was chosen, and clears the deadline sent on a previous one.
     pub fn set_address(&self, address: SocketAddr) {
         self.address.set(Some(address));
         self.sent_deadline.set(None);
     }
 
-    /// The request tells the upstream so much time from now on.
+    /// Records the deadline that is sent to the upstream.
     pub fn set_sent_deadline(&self, deadline: Duration) {
         self.sent_deadline.set(Some(deadline));
     }
 
-    /// Asked whenever the attempt goes on, and right before its first byte is written.
+    /// Called at each step of the attempt, and right before its first byte is written.
     ///
     /// # Errors
-    /// Why it may not begin now.
+    /// Why the attempt may not start now.
     pub fn check(&self) -> Result<(), Denial> {
         let now = Instant::now();
         let permitted = permit::send(&SendFacts {
@@ -92,17 +93,17 @@
         });
         self.denial.set(permitted.err());
         if let Err(denial) = permitted {
-            tracing::debug!(request = self.forward.id(), %denial, "an attempt is not begun");
+            tracing::debug!(request = self.forward.id(), %denial, "attempt not started");
         }
         permitted
     }
 
-    /// Why it may not begin, where the last check said so.
+    /// The denial of the last check, if it denied the attempt.
     pub fn denial(&self) -> Option<Denial> {
         self.denial.get()
     }
 
-    /// The first bytes are written: counts the rules that this has broken.
+    /// Called after the first bytes were written; counts the rules that were broken by then.
     pub fn record_start(&self) {
         let now = Instant::now();
         let seen = self.client_seen.get();
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Bytes of a request are written on a connection that no guard has permitted.
+    /// Counts a write of request bytes that no guard has permitted.
     pub fn record_unguarded(violations: &Violations) {
         violations.count(Rule::UnguardedAttempt, None);
     }
@@ -137,8 +138,8 @@
         closed
     }
 
-    /// By how much the deadline in the request exceeds what the client has left. While its body is still coming, its
-    /// time has not begun.
+    /// By how much the deadline sent to the upstream exceeds the client's remaining time. Zero while the request
+    /// body is incomplete, because the client's time starts at its last byte.
     fn deadline_excess(&self, now: Instant) -> Duration {
         let coming = self.forward.body.rest.as_ref().is_some_and(|rest| !rest.is_whole());
         let Some(sent_deadline) = self.sent_deadline.get().filter(|_| !coming) else {
--- a/src/bin/hollowpaddle/lateness.rs
+++ b/src/bin/hollowpaddle/lateness.rs
@@ -1,14 +1,14 @@
-//! How late the process runs: what is read after it stood still has waited in the kernel meanwhile, and its time runs
-//! from when it came.
+//! Detects process stalls from late timers. Data read after a stall may have waited in the kernel, so a request's
+//! deadline counts from the earliest time at which its data can have arrived.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// From this much on a late timer tells of a stall: less is a busy moment.
+/// A timer later than this means a stall; smaller delays are normal under load.
 const STALL_THRESHOLD: Duration = Duration::from_millis(40);
-/// How long after a stall what came during it is still being read.
+/// How long after a stall data that arrived during it may still be read.
 const CATCH_UP_TIME: Duration = Duration::from_millis(50);
 
 /// When the next timer is due, and the last stall.
@@ -25,12 +25,12 @@
 }
 
 impl Lateness {
-    /// The earliest timer is due then.
+    /// Sets when the earliest timer is due.
     pub fn set_next_timer(&self, due: Option<Instant>) {
         self.next_timer.set(due);
     }
 
-    /// The process runs now; tells how late, where that was a stall.
+    /// Records that the event loop runs now; returns the delay of the timer if it counts as a stall.
     pub fn record_wakeup(&self, now: Instant) -> Option<Duration> {
         let since = self.next_timer.get()?;
         let late = now.saturating_duration_since(since);
@@ -41,7 +41,7 @@
         Some(late)
     }
 
-    /// The earliest moment at which something that is read now may have come.
+    /// The earliest time at which data that is read now may have arrived in the kernel.
     pub fn earliest_arrival(&self, now: Instant) -> Instant {
         let late = self
             .next_timer
--- a/src/bin/hollowpaddle/lateness/tests.rs
+++ b/src/bin/hollowpaddle/lateness/tests.rs
@@ -3,7 +3,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn what_is_read_after_a_stall_came_when_the_stall_began() {
+fn data_read_after_a_stall_counts_from_its_start() {
     let (lateness, start) = (Lateness::default(), Instant::now());
     assert_eq!(lateness.earliest_arrival(start), start, "no timer tells");
     let due = start + 60 * MS;
@@ -13,7 +13,7 @@
         (lateness.record_wakeup(due + 40 * MS), lateness.earliest_arrival(due + 40 * MS)),
         (None, due + 40 * MS)
     );
-    // Read before the late timer has fired, and after.
+    // Data read before the late timer has fired, and after.
     assert_eq!(lateness.earliest_arrival(due + 300 * MS), due);
     assert_eq!(lateness.record_wakeup(due + 300 * MS), Some(300 * MS));
     lateness.set_next_timer(Some(due + 360 * MS));
--- a/src/bin/hollowpaddle/lifecycle.rs
+++ b/src/bin/hollowpaddle/lifecycle.rs
@@ -1,25 +1,26 @@
-//! Whether clients are wanted here: the one word on it, read by readiness, keep-alive and the accept loop.
+//! The phase of the process: whether it accepts clients. Readiness, keep-alive and the accept loop read it here.
 
 use std::time::Duration;
 
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// After a drain was asked for, how long idle connections are still kept: clients that close them first, or
-/// ask once more and are told to go, lose nothing. Callers of a drain expect none to be left after 4 s.
+/// How long idle connections stay open after a drain command, so that clients can close them first, or send one more
+/// request and get `Connection: close` with its answer; neither loses a request. Callers of a drain expect all
+/// connections to be closed after 4 s.
 const QUIESCE_LINGER: Duration = Duration::from_millis(1500);
-/// The same after SIGTERM, and how long connections are still accepted then: the front needs a moment to hear
-/// of it, and what is taken much later would not be finished before SIGKILL.
+/// The same after SIGTERM; also how long new connections are still accepted then. The front tier needs
+/// some time to notice the shutdown, and requests accepted much later would not finish before SIGKILL.
 pub const LINGER: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     Serving,
-    /// Operators sent clients away; taken up again by a resume.
+    /// An operator's quiesce command sends clients away until a resume command.
     Quiesced,
-    /// SIGTERM; for good.
+    /// After SIGTERM; final.
     Stopping,
-    /// The same, while a newer process serves the address.
+    /// As `Stopping`, while a newer process serves the same address.
     Replaced,
 }
 
@@ -49,23 +50,24 @@
         self.phase() == Phase::Serving
     }
 
-    /// Whether the address is served, by this process or by the one that replaces it.
-    /// Failure: asked through the old process's queue, the front heard no, and turned from both.
+    /// Whether the address is served, by this process or by the one that replaces it. A readiness probe may still
+    /// reach the old process through its accept queue; a negative answer there made the front tier give
+    /// up the address, and so both processes.
     pub fn address_served(&self) -> bool {
         matches!(self.phase(), Phase::Serving | Phase::Replaced)
     }
 
-    /// Sends clients away; false once the process is stopping.
+    /// Starts to send clients away; returns false if the process is stopping.
     pub fn quiesce(&self) -> bool {
         self.transition(Phase::Quiesced)
     }
 
-    /// Takes clients again; false once the process is stopping.
+    /// Accepts clients again; returns false if the process is stopping.
     pub fn resume(&self) -> bool {
         self.transition(Phase::Serving)
     }
 
-    /// Ends the service here, for good.
+    /// Starts the final shutdown; `replaced` if a newer process serves the address.
     pub fn stop(&self, replaced: bool) {
         self.transition(if replaced { Phase::Replaced } else { Phase::Stopping });
     }
@@ -76,13 +78,13 @@
             return false;
         }
         if from != to {
-            tracing::info!("{} from now on", to.name());
+            tracing::info!("phase changed to {}", to.name());
         }
         self.0.send_replace(to);
         true
     }
 
-    /// Waits until a connection that is open now has to close as soon as it idles.
+    /// Waits until a connection that is open now has to be closed as soon as it is idle.
     pub async fn wait_for_idle_close(&self) {
         let mut phase = self.0.subscribe();
         loop {
@@ -99,7 +101,7 @@
             };
             tokio::select! {
                 () = wait => return,
-                // The sender lives as long as we are borrowed from it.
+                // Cannot fail: `self` holds the sender.
                 _ = phase.changed() => {}
             }
         }
--- a/src/bin/hollowpaddle/management.rs
+++ b/src/bin/hollowpaddle/management.rs
@@ -1,5 +1,5 @@
-//! The operators' address: one call to a connection, answered beside any load and any number of callers that
-//! hold a connection and never finish their call.
+//! The management HTTP server for operators. Takes one call per connection, and stays responsive under client load
+//! and with any number of callers that hold a connection without completing their call.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -24,14 +24,14 @@
 use hollowpaddle::socket::{Socket, after_failed_accept};
 use hollowpaddle::tasks::AbortOnDrop;
 
-/// Descriptors for calls. A whole call is answered as soon as it is read, so a full share means callers that
-/// don't finish theirs.
+/// The number of concurrent management connections, each with one file descriptor. A complete call is answered as
+/// soon as it is read, so this limit is reached only by callers that don't complete theirs.
 pub const MAX_CONNECTIONS: usize = 16;
-/// A call takes no longer than this, from connecting to the last byte of its answer.
+/// The time limit for a call, from accepting the connection to the last byte of the answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest head; the least that hyper takes.
+/// Buffer size for a request head, in bytes: the minimum that hyper allows.
 const HEAD_LIMIT: usize = 8 << 10;
-/// Calls have no body to speak of.
+/// The largest request body, in bytes; calls need none.
 const BODY_LIMIT: usize = 4 << 10;
 
 #[derive(Clone, Copy)]
@@ -74,14 +74,14 @@
         Rc::new(Self { engine, lifecycle, figures })
     }
 
-    /// Replys calls for as long as the process runs.
+    /// Answers calls for as long as the process runs.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let mut calls = VecDeque::new();
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
                     calls.retain(|c: &AbortOnDrop| !c.0.is_finished());
-                    // The oldest has had the longest time to finish its call.
+                    // At the limit, closes the oldest connection: it had the most time to complete its call.
                     if calls.len() >= MAX_CONNECTIONS {
                         calls.pop_front();
                     }
@@ -89,7 +89,7 @@
                     calls.push_back(AbortOnDrop(call));
                 }
                 Err(cause) => {
-                    tracing::warn!(%cause, "accept a call");
+                    tracing::warn!(%cause, "cannot accept a management connection");
                     after_failed_accept(&cause).await;
                 }
             }
@@ -143,7 +143,7 @@
         )
     }
 
-    /// Only a process that is stopping says no: that can't be undone.
+    /// Replies to a phase command. It fails only when the process is stopping, which is final.
     fn phase_reply(&self, done: bool) -> Reply {
         let status = if done { StatusCode::OK } else { StatusCode::CONFLICT };
         say(status, &json!({"phase": self.lifecycle.phase().name()}))
--- a/src/bin/hollowpaddle/upstreams.rs
+++ b/src/bin/hollowpaddle/upstreams.rs
@@ -1,4 +1,4 @@
-//! Attempts at upstreams, and the connections kept for them.
+//! Attempts at upstreams, and the pool of upstream connections.
 
 mod connection;
 mod streamed_response;
@@ -34,53 +34,53 @@
 use hollowpaddle::socket::{Peer, Socket, Unread};
 pub use streamed_response::StreamedResponse;
 
-/// Idle connections are dropped at this share of the upstream's own limit: a request that crosses with its
-/// close would end as a reset, which no unsafe request survives.
+/// Idle connections are closed at this fraction of the upstream's keep-alive limit. A request sent while the
+/// upstream closes the connection would end in a reset, and an unsafe request cannot be retried after that.
 const IDLE_LIMIT_RATIO: f64 = 0.75;
-/// How often idle connections are looked through.
+/// How often expired idle connections are removed.
 const REAP_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a connection rests after an answer before it carries another request, at an upstream that was seen to
-/// speak out of turn lately: it may answer twice, some milliseconds apart (STANDING), and nothing tells a second
-/// answer from that to the next request. On a connection that rests it is seen, and ends the connection.
+/// How long a connection stays unused after a response, for an upstream that recently sent unsolicited bytes. Such
+/// an upstream may send a second response some milliseconds after the first (STANDING), which cannot be told from
+/// the response to the next request. On an idle connection it is detected, and the connection is closed.
 const UNSOLICITED_HOLD_OFF: Duration = Duration::from_millis(10);
 const UNSOLICITED_WINDOW: Duration = Duration::from_secs(60);
-/// How long a connection may take to be ready again once its answer is whole.
+/// How long a connection may take to be ready for reuse after a complete response.
 const READY_TIMEOUT: Duration = Duration::from_millis(10);
 
-/// How long an answer that does not tell its size is waited for to be whole or large, before what there is of
-/// it is passed on: a large one is timed by its first bytes.
+/// How long to wait for a response of unknown size to be complete or to exceed the buffer limit, before its first
+/// part is forwarded: the latency of a large response is measured at its first bytes.
 const COMPLETE_BODY_TIMEOUT: Duration = Duration::from_millis(20);
-/// An upstream that neither takes nor gives a byte for so long, in the middle of a body, is given up.
+/// An exchange is aborted when the upstream neither reads nor sends a byte for this long in the middle of a body.
 const STALL_TIMEOUT: Duration = Duration::from_secs(8);
-/// How often that is looked at.
+/// How often the upload is checked for such a stall.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A client's request as it goes on, the same for each of its attempts.
+/// A client's request as it is forwarded, shared by all of its attempts.
 pub struct Forward {
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
     pub body: Payload,
-    /// When its client gives up; set anew once its body is whole.
+    /// The client's deadline; set again once the request body is complete.
     pub until: Cell<Instant>,
-    /// Who waits for the answer.
+    /// The connection of the client that waits for the answer.
     pub client: Peer,
 }
 
 impl Forward {
-    /// The request's id, as its client gave it.
+    /// The client's `X-Request-Id`.
     pub fn id(&self) -> Option<&str> {
         self.headers.get("x-request-id")?.to_str().ok()
     }
 }
 
-/// How an attempt ended, and with what.
+/// The outcome of an attempt, with its response if it succeeded.
 pub struct AttemptResult {
     pub outcome: Outcome,
     pub report: Report,
-    /// The answer, if it served.
+    /// The response to forward, if the outcome is `Ok`.
     pub response: Option<Box<Response<Served>>>,
-    /// Why it did not begin, where its guard said no.
+    /// Why the guard did not let the attempt start.
     pub denial: Option<Denial>,
 }
 
@@ -89,25 +89,25 @@
         Self { outcome, report: Report::default(), response: None, denial: None }
     }
 
-    /// The guard did not let it begin.
+    /// The result of an attempt that the guard did not let start.
     pub fn denied(denial: Denial) -> Self {
         Self { denial: Some(denial), ..Self::without_response(Outcome::NotSent) }
     }
 }
 
-/// What may change about an upstream while an attempt waits for its connection.
+/// The properties of an upstream that may change while an attempt waits for a connection.
 #[derive(Debug)]
 pub struct Target {
     pub address: Cell<SocketAddr>,
-    /// It drains or is gone. At once, and not with the grace of a drain: that began when discovery had the news,
-    /// which may be earlier than they were heard here.
+    /// The upstream drains or is gone. Takes effect immediately, without the drain grace: the grace began when
+    /// discovery got the update, which may be earlier than its arrival here.
     pub closed: Cell<bool>,
 }
 
-/// The connections to all upstreams, and how to use them.
+/// The pool of connections to all upstreams; runs the attempts on them.
 pub struct Pool {
     idle: RefCell<FxHashMap<ServerId, Vec<UpstreamConnection>>>,
-    /// Upstreams that said something on a connection on which nothing was asked, and when.
+    /// Upstreams that sent bytes on a connection without a request in flight, and when they last did.
     unsolicited: RefCell<FxHashMap<ServerId, Instant>>,
     open_count: Rc<Cell<usize>>,
     max_connections: usize,
@@ -120,7 +120,8 @@
 }
 
 impl Pool {
-    /// Counts in these figures the attempts that were written whole, and the rules that they broke.
+    /// Creates a pool of at most `max_connections` connections. Counts in `figures` the attempts that were written
+    /// completely, and the rules that they broke.
     pub fn new(
         max_connections: usize,
         config: &Config,
@@ -156,7 +157,7 @@
         pool
     }
 
-    /// Drops what has idled for too long or was closed from the other side.
+    /// Drops connections that were idle for too long or that the upstream has closed.
     fn reap(&self) {
         self.idle.borrow_mut().retain(|_, connections| {
             connections.retain(|c| self.usable(c));
@@ -174,7 +175,7 @@
     }
 
     fn record_unsolicited(&self, server: ServerId, address: SocketAddr) {
-        tracing::info!(%address, "an upstream spoke out of turn");
+        tracing::info!(%address, "upstream sent bytes without a request in flight");
         self.unsolicited.borrow_mut().insert(server, Instant::now());
     }
 
@@ -185,7 +186,7 @@
             .is_some_and(|seen| seen.elapsed() < UNSOLICITED_WINDOW)
     }
 
-    /// Of those that have rested the one used last: the others can age out.
+    /// Takes the most recently used idle connection that is past the hold-off, so that the others can expire.
     fn take_idle(&self, server: ServerId, address: SocketAddr) -> Option<UpstreamConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&server)?;
@@ -209,13 +210,13 @@
         self.idle.borrow_mut().entry(server).or_default().push(connection);
     }
 
-    /// Makes room for one more connection at the cost of the one that has idled longest.
+    /// Makes room for one more connection, if necessary by closing the one that has been idle longest.
     fn make_room(&self) -> bool {
         if self.open_count.get() < self.max_connections {
             return true;
         }
         let mut idle = self.idle.borrow_mut();
-        // Each stack is in order of age, the oldest first.
+        // Each list is ordered by idle time, longest first.
         let oldest = idle
             .iter()
             .filter_map(|(server, connections)| {
@@ -235,7 +236,7 @@
         address: SocketAddr,
     ) -> Option<UpstreamConnection> {
         if !self.make_room() {
-            tracing::warn!("no descriptor left for an upstream");
+            tracing::warn!("connection limit reached with no idle upstream connection to close");
             return None;
         }
         let open = OpenConnectionGuard::new(&self.open_count);
@@ -256,7 +257,8 @@
         let task = tokio::task::spawn_local(async move {
             let _open = open;
             let ended = connection.await;
-            // More than an answer, or none: hyper tells the one only in words. A failure of the socket has a source.
+            // Detects unsolicited bytes, for which hyper has no error kind of its own: socket errors have a source, and
+            // the other errors without one are excluded here.
             let unsolicited = ended.is_err_and(|e| {
                 std::error::Error::source(&e).is_none()
                     && !e.is_incomplete_message()
@@ -271,7 +273,7 @@
         Some(UpstreamConnection { sender, written, peer, address, idle_since, _connection })
     }
 
-    /// Keeps a connection whose answer has been read, once it can take another request.
+    /// Returns a connection to the pool after its response was read, once it can take another request.
     async fn recycle(&self, server: ServerId, mut connection: UpstreamConnection) {
         if let Ok(Ok(())) = timeout(READY_TIMEOUT, connection.sender.ready()).await {
             connection.idle_since = Instant::now();
@@ -280,7 +282,7 @@
         }
     }
 
-    /// One attempt: at most one request reaches the wire. Its guard is asked right before its first byte does.
+    /// Runs one attempt: at most one request is written. The guard is checked right before its first byte.
     pub async fn attempt(
         self: &Rc<Self>,
         server: ServerId,
@@ -294,7 +296,7 @@
             () = attempt_timeout(guard.forward(), until, &progress) => None,
         };
         ended.unwrap_or_else(|| {
-            // Time ran out before all of it was handed over: it cannot have run.
+            // The request timed out before all of it was handed to the kernel, so the upstream cannot have run it.
             AttemptResult::without_response(if progress.certainly_incomplete() {
                 Outcome::ConnectFailed
             } else {
@@ -323,10 +325,10 @@
                 return AttemptResult::without_response(Outcome::ConnectFailed);
             };
             guard.set_address(connection.address);
-            // The wait for a connection may outlast the request, or the upstream's service.
+            // While waiting for a connection, the request may have ended or the upstream may have been closed.
             match guard.check() {
                 Ok(()) => {}
-                // Another upstream may listen where it was.
+                // Another upstream may listen at the old address.
                 Err(Denial::UpstreamMoved) => continue,
                 Err(denial) => {
                     self.put_idle(server, connection);
@@ -340,13 +342,13 @@
             let answer = connection.sender.send_request(request).await;
             match guard.denial() {
                 None => {}
-                // On another connection it is told what holds by then.
+                // A new exchange uses the current address and deadline.
                 Some(Denial::UpstreamMoved | Denial::DeadlineStale) => continue,
                 Some(denial) => return AttemptResult::denied(denial),
             }
             let answer = match answer {
                 Ok(answer) => answer,
-                // A kept connection that closed before a byte went out is no attempt yet.
+                // A pooled connection that closed before any byte was written does not count as an attempt.
                 Err(_) if can_resend() => continue,
                 Err(_) if progress.certainly_incomplete() => {
                     return AttemptResult::without_response(Outcome::ConnectFailed);
@@ -357,7 +359,7 @@
         }
     }
 
-    /// Reads an answer to its end, or, where it is large, its first part; only then is it one.
+    /// Reads a response completely, or the first part of a large one. The attempt counts as answered only then.
     async fn answer(
         self: &Rc<Self>,
         forward: &Forward,
@@ -375,14 +377,14 @@
             }
             _ => Outcome::Error,
         };
-        // Nobody is shown the body of an answer that did not serve.
+        // The body of an unsuccessful response is not forwarded.
         let serves = outcome == Outcome::Ok;
         let length = body.size_hint().exact();
         let room = length.map_or(KEPT, |n| usize::try_from(n).unwrap_or(usize::MAX));
         let hold = (room <= KEPT && serves).then(|| self.memory.hold(room)).flatten();
         let most = if hold.is_some() || !serves { KEPT } else { 0 };
         let Ok((kept, complete)) = first_part(&mut body, most, length).await else {
-            // Cut short: it ran, and there is nothing to pass on.
+            // The response was cut short: the request ran, and there is nothing to forward.
             return AttemptResult { report, ..AttemptResult::without_response(Outcome::Reset) };
         };
         let rest = if complete {
@@ -398,8 +400,8 @@
     }
 }
 
-/// Reads a body until it ends, or until there is more of it than `most`; one of unknown size not for long.
-/// Tells whether that is all of it.
+/// Reads a body until it ends or exceeds `most` bytes; if its size is unknown, for a limited time. Also returns
+/// whether the body is complete.
 async fn first_part(
     body: &mut Incoming,
     most: usize,
@@ -422,7 +424,7 @@
                     buffered.extend_from_slice(&data);
                 }
             }
-            // Slow; with nothing to pass on yet, it is still waited for.
+            // Timed out with nothing to forward yet: waits for the first frame.
             Err(_) if buffered.is_empty() => {
                 let Some(frame) = body.frame().await else { return Ok((buffered.freeze(), true)) };
                 if let Ok(data) = frame?.into_data() {
@@ -437,8 +439,8 @@
     }
 }
 
-/// Waits until the time of an attempt is over. While a body is passed on, that is when its upstream has
-/// stopped taking it.
+/// Waits until an attempt has timed out. While a request body is being forwarded, that is when the upstream has
+/// stopped reading it.
 async fn attempt_timeout(forward: &Forward, until: Instant, progress: &SendProgress) {
     let Some(rest) = &forward.body.rest else { return sleep_until(until).await };
     let allowed = until.saturating_duration_since(Instant::now());
@@ -454,14 +456,14 @@
     tokio::select! {
         how = rest.ended() => match how {
             Ok(()) => sleep(allowed).await,
-            // The exchange ends by itself.
+            // The exchange itself fails in this case.
             Err(_) => std::future::pending().await,
         },
         () = stalled => {}
     }
 }
 
-/// `X-Load: TEXT name=value, name=value`; what is not understood is left out.
+/// Parses `X-Load: TEXT name=value, name=value`; unknown names and malformed values are ignored.
 fn parse_load_report(fields: &[(String, Field)], headers: &HeaderMap) -> Report {
     let mut report = Report::default();
     let text = headers.get("x-load").and_then(|v| v.to_str().ok());
@@ -477,7 +479,7 @@
     report
 }
 
-/// How much of a request was handed to the kernel.
+/// Tracks how much of a request was handed to the kernel.
 #[derive(Default)]
 struct SendProgress {
     written: RefCell<Option<(Written, u64)>>,
@@ -487,7 +489,7 @@
 impl SendProgress {
     fn start(&self, written: &Written, due: Due) {
         let from = written.bytes.get();
-        // Where more may come, it is set once all of it was given.
+        // For an incomplete body, `complete_at` is set once its last byte was handed over.
         written.complete_at.set(due.all.get().then(|| from + due.bytes.get()));
         self.written.replace(Some((written.clone(), from)));
         self.due.replace(due);
@@ -498,7 +500,7 @@
     fn nothing_written(&self) -> bool {
         self.bytes() == 0
     }
-    /// Its last byte is certainly not out; in doubt it is.
+    /// Whether the request's last byte was certainly not written; false in doubt.
     fn certainly_incomplete(&self) -> bool {
         let due = self.due.borrow();
         !due.all.get() || self.bytes() < due.bytes.get().max(1)
@@ -525,7 +527,7 @@
         written.guard.replace(Some(guard.clone()));
         let left = HeaderValue::from_str(&left.as_millis().to_string()).ok()?;
         request.headers_mut().insert("x-deadline-ms", left);
-        // Every name and value goes out with at least this much around it.
+        // Each header line has at least four bytes besides name and value: `: ` and CRLF.
         let head: usize =
             request.headers().iter().map(|(n, v)| n.as_str().len() + v.len() + 4).sum();
         due.bytes.set(due.bytes.get() + head as u64);
--- a/src/bin/hollowpaddle/upstreams/connection.rs
+++ b/src/bin/hollowpaddle/upstreams/connection.rs
@@ -1,4 +1,5 @@
-//! One connection to an upstream: what is written on it, by whose permission, and what its peer has said.
+//! One connection to an upstream: counts the bytes written, enforces the guard before writes, and checks for unread
+//! input.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -18,23 +19,23 @@
 use crate::bodies::Outgoing;
 use crate::guard::AttemptGuard;
 
-/// Bytes handed to the kernel on a connection. What was not handed over cannot have run.
+/// Counts the bytes handed to the kernel on a connection. A request that was not handed over cannot have run.
 #[derive(Clone, Default)]
 pub(super) struct Written {
     pub(super) bytes: Rc<Cell<u64>>,
-    /// At so many, the attempt that is out is whole.
+    /// The value of `bytes` at which the attempt in flight is written completely.
     pub(super) complete_at: Rc<Cell<Option<u64>>>,
-    /// Attempts that were whole, on all connections.
+    /// The number of attempts written completely, on all connections.
     pub(super) attempts_sent: Counter,
-    /// Of the attempt that has not begun yet.
+    /// The guard of an attempt whose first byte is not written yet.
     pub(super) guard: Rc<RefCell<Option<Rc<AttemptGuard>>>>,
-    /// Whether the attempt that is out had its guard's permission.
+    /// Whether the attempt in flight was permitted by its guard.
     pub(super) permitted: Rc<Cell<bool>>,
     pub(super) violations: Violations,
 }
 
 impl Written {
-    /// Writes what the guard of an attempt permits; its first bytes ask the guard.
+    /// Performs a write; the first write of an attempt is checked by its guard.
     pub(super) fn guarded(
         &self,
         write: impl FnOnce() -> Poll<std::io::Result<usize>>,
@@ -68,7 +69,7 @@
     }
 }
 
-/// A stream that counts what is written.
+/// A stream that counts the bytes written and checks the guard.
 pub(super) struct CountedIo {
     pub(super) inner: TokioIo<Socket>,
     pub(super) written: Written,
@@ -116,7 +117,7 @@
     }
 }
 
-/// A connection that no attempt is using, or that one attempt is.
+/// A connection that is idle or in use by one attempt.
 pub(super) struct UpstreamConnection {
     pub(super) sender: SendRequest<Outgoing>,
     pub(super) written: Written,
@@ -127,14 +128,14 @@
 }
 
 impl UpstreamConnection {
-    /// Guards against a close that has arrived and that the connection's own task has not been woken for yet:
-    /// when it came in the same moment as a request, the request was written first, and was lost as a reset.
+    /// Checks the socket for input or a close that the connection's task has not been woken for yet. Without this, a
+    /// request that came at the same moment as the upstream's close was written first, and failed with a reset.
     pub(super) fn unread_input(&self) -> Unread {
         self.peer.unread()
     }
 }
 
-/// Counts a descriptor for as long as it is open.
+/// Counts an open connection until it is dropped.
 pub(super) struct OpenConnectionGuard(Rc<Cell<usize>>);
 
 impl OpenConnectionGuard {
--- a/src/bin/hollowpaddle/upstreams/streamed_response.rs
+++ b/src/bin/hollowpaddle/upstreams/streamed_response.rs
@@ -1,4 +1,4 @@
-//! The rest of an answer, passed on as fast as its client takes it.
+//! The rest of an upstream response, streamed as fast as the client reads it.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -14,22 +14,23 @@
 use super::{Forward, Pool, STALL_TIMEOUT};
 use crate::bodies::{Broken, KEPT};
 
-/// An answer that may be small has to end this long after its client's time at the latest (STANDING: half a second).
+/// A response that may be small has to end at the latest this long after the client's deadline (STANDING: half a
+/// second).
 const END_GRACE: Duration = Duration::from_millis(300);
-/// Bytes a second from which on an answer of unknown size passes for a large one, however little of it came yet.
+/// A response of unknown size that arrives at this rate or faster counts as large, however little has arrived so far.
 const LARGE_RATE_BYTES_PER_S: f64 = 24_000.0;
 
-/// The rest of an answer, on its way from an upstream. Dropped before its end, it closes the connection.
+/// The rest of a response from an upstream. Closes the connection if dropped before its end.
 pub struct StreamedResponse {
-    /// The id of the request that it answers.
+    /// The `X-Request-Id` of the request.
     request: Option<String>,
     body: Incoming,
     return_to: Option<(Rc<Pool>, ServerId, UpstreamConnection)>,
     waiting_since: Option<Instant>,
     started_at: Instant,
-    /// By when it has to be over, unless it is large.
+    /// When the response has to end, unless it is large.
     end_by: Instant,
-    /// Its whole size, or what has come so far; and whether it is the size.
+    /// The total size in bytes if `size_known`, else the number of bytes received so far.
     size: u64,
     size_known: bool,
     timer: Pin<Box<Sleep>>,
@@ -37,7 +38,7 @@
 }
 
 impl StreamedResponse {
-    /// Of an answer of which so much is passed on already, and its whole size where that is known.
+    /// Streams the rest of a response of which `received` bytes were already read; `length` is its total size, if known.
     pub(super) fn new(
         forward: &Forward,
         body: Incoming,
@@ -59,8 +60,8 @@
         }
     }
 
-    /// How long its next piece is waited for, from now on. Of a large answer its first bytes are what is timed;
-    /// any other has to end, or be seen to be cut, soon after its client's time.
+    /// When to stop waiting for the next piece. The latency of a large response is measured at its first bytes, so
+    /// only a stall ends it; any other has to end, or be reported as cut off, soon after the client's deadline.
     fn next_piece_deadline(&self, now: Instant) -> Instant {
         let stalled = now + STALL_TIMEOUT;
         if self.size > KEPT as u64 {
@@ -70,12 +71,12 @@
         stalled.min(self.end_by.max(self.started_at + Duration::from_secs_f64(pace)))
     }
 
-    /// What is left of it, where that is known.
+    /// The number of remaining bytes, if known.
     pub fn left(&self) -> Option<u64> {
         self.body.size_hint().exact()
     }
 
-    /// Whether all of it was passed on.
+    /// Whether the response was forwarded completely.
     pub fn is_over(&self) -> bool {
         self.finished
     }
@@ -93,7 +94,7 @@
             match Pin::new(&mut self.body).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
                     self.waiting_since = None;
-                    // Trailers concern nobody here.
+                    // Trailers are not forwarded.
                     let Ok(data) = frame.into_data() else { continue };
                     if !self.size_known {
                         self.size += data.len() as u64;
@@ -104,7 +105,7 @@
                     return Poll::Ready(Some(Ok(data)));
                 }
                 Poll::Ready(Some(Err(cause))) => {
-                    tracing::info!(request = self.request, %cause, "an answer broke off on its way");
+                    tracing::info!(request = self.request, %cause, "upstream response was cut off while being forwarded");
                     return Poll::Ready(Some(Err(Broken::Cut)));
                 }
                 Poll::Ready(None) => {
@@ -119,7 +120,10 @@
                         self.timer.as_mut().reset(until);
                     }
                     ready!(self.timer.as_mut().poll(cx));
-                    tracing::info!(request = self.request, "an answer stalled on its way");
+                    tracing::info!(
+                        request = self.request,
+                        "upstream response timed out while being forwarded"
+                    );
                     return Poll::Ready(Some(Err(Broken::Slow)));
                 }
             }
--- a/src/bin/hollowpaddle/upstreams/tests.rs
+++ b/src/bin/hollowpaddle/upstreams/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_load_report_is_read_as_far_as_it_is_understood() {
+fn load_report_ignores_what_it_cannot_parse() {
     let fields = ["eps", "qps", "inflight"].map(|n| (n.to_string(), Field::named(n)));
     let read = |text: &str| {
         let mut headers = HeaderMap::new();
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn only_what_is_certainly_not_whole_never_ran() {
+fn request_is_incomplete_until_its_last_byte_may_be_written() {
     let forward = Rc::new(Forward {
         method: Method::POST,
         uri: Uri::from_static("/api"),
@@ -43,7 +43,7 @@
         "head and body are longer than the body"
     );
     assert_eq!(written.attempts_sent.get(), 0);
-    // `POST /api HTTP/1.1`, X-Deadline-Ms and the body, and not a byte less.
+    // The smallest complete request: request line, X-Deadline-Ms and the body.
     let complete = "POST /api HTTP/1.1\r\nx-deadline-ms: 0\r\n\r\n0123456789".len();
     written.add(complete - 10);
     assert!(!progress.certainly_incomplete());
