--- a/src/bin/hollowpaddle/engine/upstream_table.rs
+++ b/src/bin/hollowpaddle/engine/upstream_table.rs
@@ -1,4 +1,4 @@
-//! The upstreams as connections know them.
+//! Connection targets and metrics of the upstreams.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,11 +9,11 @@
 
 use crate::upstreams::{Pool, Target};
 
-/// The upstreams as connections know them, by the module's handle.
+/// The connection target and metrics of each upstream, indexed by the policy's `ServerId`.
 #[derive(Default)]
 pub(super) struct UpstreamTable {
     pub(super) targets: Vec<Rc<Target>>,
-    /// Of the same upstreams, where operators can ask for them.
+    /// Metrics of the same upstreams; `None` for an upstream that is gone, and where metrics are off.
     pub(super) figures: Vec<Option<figures::Upstream>>,
 }
 
@@ -26,16 +26,16 @@
         self.figures.get(server.0 as usize)?.as_ref()
     }
 
-    /// Takes in what became of an upstream.
-    pub(super) fn change(&mut self, change: &Change, pool: &Pool, figures: &Figures) {
+    /// Applies a change of one upstream.
+    pub(super) fn apply(&mut self, change: &Change, pool: &Pool, figures: &Figures) {
         let at = change.server.0 as usize;
-        // Handles count up from 0, in the order in which upstreams are first named.
+        // Server ids count up from 0, in the order in which upstreams are first listed.
         if at == self.targets.len() {
             let target = Target { address: Cell::new(change.address), closed: Cell::new(false) };
             self.targets.push(Rc::new(target));
             self.figures.push(None);
         }
-        let (Some(target), Some(counted)) = (self.targets.get(at), self.figures.get_mut(at)) else {
+        let (Some(target), Some(metrics)) = (self.targets.get(at), self.figures.get_mut(at)) else {
             return;
         };
         if target.address.replace(change.address) != change.address {
@@ -43,10 +43,10 @@
         }
         target.closed.set(change.status != Status::Live);
         if change.status != Status::Gone {
-            if counted.is_none() {
-                *counted = figures.upstream(&change.id);
+            if metrics.is_none() {
+                *metrics = figures.upstream(&change.id);
             }
-        } else if counted.take().is_some() {
+        } else if metrics.take().is_some() {
             figures.forget(&change.id);
         }
     }
--- a/src/bin/hollowpaddle/guard.rs
+++ b/src/bin/hollowpaddle/guard.rs
@@ -1,5 +1,5 @@
-//! The one guard before each attempt: gathers what holds at that moment, lets [`permit`] decide, and checks after
-//! the write what may have changed meanwhile.
+//! The check before each attempt. Gathers the current facts, lets [`permit`] decide, and checks after the write
+//! whether a rule was broken between the check and the write.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -12,50 +12,51 @@
 
 use crate::upstreams::{Forward, Target};
 
-/// A look at the client's connection holds for so long: far less than an attempt may begin after a close.
-const LOOK_HOLDS: Duration = Duration::from_millis(5);
+/// How long a check of the client's connection stays valid: far less than `permit::AFTER_CLOSE`, the time after a
+/// close in which an attempt may still begin.
+const CLIENT_CHECK_VALIDITY: Duration = Duration::from_millis(5);
 
-/// What one attempt at an upstream depends on until its first byte is out.
+/// The state that decides whether one attempt may start, up to its first byte on the wire.
 pub struct AttemptGuard {
     forward: Rc<Forward>,
-    /// Cleared once the request has its answer.
-    live: Rc<Cell<bool>>,
+    /// False once the request has its answer.
+    unanswered: Rc<Cell<bool>>,
     target: Rc<Target>,
-    /// The last moment at which the attempt may begin.
-    before: Instant,
-    /// Where the connection in use leads.
+    /// The latest time at which the attempt may start.
+    latest_start: Instant,
+    /// The remote address of the connection in use.
     address: Cell<Option<SocketAddr>>,
-    /// The deadline that the request tells the upstream.
-    told: Cell<Option<Duration>>,
-    /// When the client was last seen to be there.
-    seen: Cell<Option<Instant>>,
+    /// The deadline in the request's `X-Deadline-Ms` header to the upstream.
+    sent_deadline: Cell<Option<Duration>>,
+    /// When the client's connection was last seen to be open.
+    client_seen: Cell<Option<Instant>>,
     denial: Cell<Option<Denial>>,
     violations: Violations,
 }
 
 impl AttemptGuard {
-    /// The guard of an attempt that may begin until `before`.
+    /// The guard of an attempt that may start until `latest_start`.
     pub fn new(
         forward: Rc<Forward>,
-        live: Rc<Cell<bool>>,
+        unanswered: Rc<Cell<bool>>,
         target: Rc<Target>,
-        before: Instant,
+        latest_start: Instant,
         violations: Violations,
     ) -> Rc<Self> {
         Rc::new(Self {
             forward,
-            live,
+            unanswered,
             target,
-            before,
+            latest_start,
             address: Cell::new(None),
-            told: Cell::new(None),
-            seen: Cell::new(None),
+            sent_deadline: Cell::new(None),
+            client_seen: Cell::new(None),
             denial: Cell::new(None),
             violations,
         })
     }
 
-    /// The request that the attempt is of.
+    /// The request that the attempt carries.
     pub fn forward(&self) -> &Forward {
         &self.forward
     }
@@ -65,54 +66,54 @@
         &self.target
     }
 
-    /// A connection to this address is used from now on.
-    pub fn connected(&self, address: SocketAddr) {
+    /// Sets the remote address after a connection was chosen, and clears the deadline sent on a previous one.
+    pub fn set_address(&self, address: SocketAddr) {
         self.address.set(Some(address));
-        self.told.set(None);
+        self.sent_deadline.set(None);
     }
 
-    /// The request tells the upstream so much time from now on.
-    pub fn tells(&self, deadline: Duration) {
-        self.told.set(Some(deadline));
+    /// Records the deadline that is sent to the upstream.
+    pub fn set_sent_deadline(&self, deadline: Duration) {
+        self.sent_deadline.set(Some(deadline));
     }
 
-    /// Asked whenever the attempt goes on, and right before its first byte is written.
+    /// Called at each step of the attempt, and right before its first byte is written.
     ///
     /// # Errors
-    /// Why it may not begin now.
+    /// Why the attempt may not start now.
     pub fn check(&self) -> Result<(), Denial> {
         let now = Instant::now();
         let permitted = permit::send(&SendFacts {
             client_closed: self.client_closed(now),
-            answered: !self.live.get(),
-            window_passed: now >= self.before,
+            answered: !self.unanswered.get(),
+            window_passed: now >= self.latest_start,
             upstream_closed: self.target.closed.get(),
             upstream_moved: self.address.get().is_some_and(|at| at != self.target.address.get()),
             deadline_excess: self.deadline_excess(now),
         });
         self.denial.set(permitted.err());
         if let Err(denial) = permitted {
-            tracing::debug!(request = self.forward.id(), %denial, "an attempt is not begun");
+            tracing::debug!(request = self.forward.id(), %denial, "attempt not started");
         }
         permitted
     }
 
-    /// Why it may not begin, where the last check said so.
+    /// The denial of the last check, if it denied the attempt.
     pub fn denial(&self) -> Option<Denial> {
         self.denial.get()
     }
 
-    /// The first bytes are written: counts the rules that this has broken.
-    pub fn begun(&self) {
+    /// Called after the first bytes were written; counts the rules that were broken by then.
+    pub fn record_start(&self) {
         let now = Instant::now();
-        let seen = self.seen.get();
+        let seen = self.client_seen.get();
         let since_check = seen.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         let facts = SentFacts {
             guarded: seen.is_some(),
             since_check,
             client_closed: since_check > permit::AFTER_CLOSE && self.forward.client.has_closed(),
             upstream_closed: self.target.closed.get(),
-            past_window: now.saturating_duration_since(self.before),
+            past_window: now.saturating_duration_since(self.latest_start),
             deadline_excess: self.deadline_excess(now),
         };
         for rule in permit::broken(&facts) {
@@ -120,28 +121,30 @@
         }
     }
 
-    /// Bytes of a request are written on a connection that no guard has permitted.
-    pub fn unguarded(violations: &Violations) {
+    /// Counts a write of request bytes that no guard has permitted.
+    pub fn record_unguarded(violations: &Violations) {
         violations.count(Rule::UnguardedAttempt, None);
     }
 
     fn client_closed(&self, now: Instant) -> bool {
-        let holds = |seen: Instant| now.saturating_duration_since(seen) < LOOK_HOLDS;
-        if self.seen.get().is_some_and(holds) {
+        let holds = |seen: Instant| now.saturating_duration_since(seen) < CLIENT_CHECK_VALIDITY;
+        if self.client_seen.get().is_some_and(holds) {
             return false;
         }
         let closed = self.forward.client.has_closed();
         if !closed {
-            self.seen.set(Some(now));
+            self.client_seen.set(Some(now));
         }
         closed
     }
 
-    /// By how much the deadline in the request exceeds what the client has left. While its body is still coming, its
-    /// time has not begun.
+    /// By how much the deadline sent to the upstream exceeds the client's remaining time. Zero while the request
+    /// body is incomplete, because the client's time starts at its last byte.
     fn deadline_excess(&self, now: Instant) -> Duration {
         let coming = self.forward.body.rest.as_ref().is_some_and(|rest| !rest.is_whole());
-        let Some(told) = self.told.get().filter(|_| !coming) else { return Duration::ZERO };
-        told.saturating_sub(self.forward.until.get().saturating_duration_since(now))
+        let Some(sent_deadline) = self.sent_deadline.get().filter(|_| !coming) else {
+            return Duration::ZERO;
+        };
+        sent_deadline.saturating_sub(self.forward.until.get().saturating_duration_since(now))
     }
 }
--- a/src/bin/hollowpaddle/upstreams/connection.rs
+++ b/src/bin/hollowpaddle/upstreams/connection.rs
@@ -1,4 +1,5 @@
-//! One connection to an upstream: what is written on it, by whose permission, and what its peer has said.
+//! One connection to an upstream: counts the bytes written, enforces the guard before writes, and checks for unread
+//! input.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -18,23 +19,23 @@
 use crate::bodies::Outgoing;
 use crate::guard::AttemptGuard;
 
-/// Bytes handed to the kernel on a connection. What was not handed over cannot have run.
+/// Counts the bytes handed to the kernel on a connection. A request that was not handed over cannot have run.
 #[derive(Clone, Default)]
 pub(super) struct Written {
     pub(super) bytes: Rc<Cell<u64>>,
-    /// At so many, the attempt that is out is whole.
-    pub(super) whole_at: Rc<Cell<Option<u64>>>,
-    /// Attempts that were whole, on all connections.
-    pub(super) tries: Counter,
-    /// Of the attempt that has not begun yet.
+    /// The value of `bytes` at which the attempt in flight is written completely.
+    pub(super) complete_at: Rc<Cell<Option<u64>>>,
+    /// The number of attempts written completely, on all connections.
+    pub(super) attempts_sent: Counter,
+    /// The guard of an attempt whose first byte is not written yet.
     pub(super) guard: Rc<RefCell<Option<Rc<AttemptGuard>>>>,
-    /// Whether the attempt that is out had its guard's permission.
+    /// Whether the attempt in flight was permitted by its guard.
     pub(super) permitted: Rc<Cell<bool>>,
     pub(super) violations: Violations,
 }
 
 impl Written {
-    /// Writes what the guard of an attempt permits; its first bytes ask the guard.
+    /// Performs a write; the first write of an attempt is checked by its guard.
     pub(super) fn guarded(
         &self,
         write: impl FnOnce() -> Poll<std::io::Result<usize>>,
@@ -50,10 +51,10 @@
         let written = written?;
         if let Some(guard) = guard {
             self.permitted.set(true);
-            guard.begun();
+            guard.record_start();
         }
         if !self.permitted.get() {
-            AttemptGuard::unguarded(&self.violations);
+            AttemptGuard::record_unguarded(&self.violations);
         }
         self.add(written);
         Poll::Ready(Ok(written))
@@ -61,20 +62,20 @@
 
     pub(super) fn add(&self, n: usize) {
         self.bytes.set(self.bytes.get() + n as u64);
-        if self.whole_at.get().is_some_and(|at| self.bytes.get() >= at) {
-            self.whole_at.set(None);
-            self.tries.inc();
+        if self.complete_at.get().is_some_and(|at| self.bytes.get() >= at) {
+            self.complete_at.set(None);
+            self.attempts_sent.inc();
         }
     }
 }
 
-/// A stream that counts what is written.
-pub(super) struct Counted {
+/// A stream that counts the bytes written and checks the guard.
+pub(super) struct CountedIo {
     pub(super) inner: TokioIo<Socket>,
     pub(super) written: Written,
 }
 
-impl Read for Counted {
+impl Read for CountedIo {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -84,7 +85,7 @@
     }
 }
 
-impl Write for Counted {
+impl Write for CountedIo {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -116,8 +117,8 @@
     }
 }
 
-/// A connection that no attempt is using, or that one attempt is.
-pub(super) struct Link {
+/// A connection that is idle or in use by one attempt.
+pub(super) struct UpstreamConnection {
     pub(super) sender: SendRequest<Outgoing>,
     pub(super) written: Written,
     pub(super) peer: Peer,
@@ -126,25 +127,25 @@
     pub(super) _connection: AbortOnDrop,
 }
 
-impl Link {
-    /// Guards against a close that has arrived and that the connection's own task has not been woken for yet:
-    /// when it came in the same moment as a request, the request was written first, and was lost as a reset.
-    pub(super) fn at_rest(&self) -> Unread {
+impl UpstreamConnection {
+    /// Checks the socket for input or a close that the connection's task has not been woken for yet. Without this, a
+    /// request that came at the same moment as the upstream's close was written first, and failed with a reset.
+    pub(super) fn unread_input(&self) -> Unread {
         self.peer.unread()
     }
 }
 
-/// Counts a descriptor for as long as it is open.
-pub(super) struct Open(Rc<Cell<usize>>);
+/// Counts an open connection until it is dropped.
+pub(super) struct OpenConnectionGuard(Rc<Cell<usize>>);
 
-impl Open {
+impl OpenConnectionGuard {
     pub(super) fn new(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
         Self(count.clone())
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
