--- a/src/bin/hollowpaddle/clients.rs
+++ b/src/bin/hollowpaddle/clients.rs
@@ -29,8 +29,8 @@
 use tokio::task::unconstrained;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::bodies::{AnswerBody, Broken, KEPT, LARGEST, Memory, Payload, RequestBody};
-use crate::client_connection::{ClientConnection, ObservedStream, RequestGuard, Room, close};
+use crate::bodies::{ResponseBody, BodyError, MAX_BUFFERED_BYTES, MAX_REQUEST_BODY_BYTES, BodyMemory, Payload, RequestBody};
+use crate::client_connection::{ClientConnection, ObservedStream, RequestGuard, Room, lingering_close};
 use crate::engine::{Arrival, Handle, Reply};
 use crate::lifecycle::{LINGER, Lifecycle};
 use crate::succession::ProcessRegistration;
@@ -40,26 +40,26 @@
 
 /// The longest head of a request; a longer one is answered 431. hyper's own limit, some 400 KiB, times a full
 /// table of clients is more than the memory that a balancer has.
-const HEAD_LIMIT: usize = 32 << 10;
+const MAX_HEAD_BYTES: usize = 32 << 10;
 /// After the last accept, the longest wait for what was taken. Each request has its deadline and each body has
 /// to come on; the platform ends what takes longer than it allows.
-const FINISH: Duration = Duration::from_secs(60);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(60);
 /// SIGKILL may come so long after SIGTERM, and the longest deadline later, which is taken for this long at most
 /// (PROTOCOL, "Figures").
-const KILL_AFTER: Duration = Duration::from_millis(700);
-const LONGEST_BEFORE_KILL: Duration = Duration::from_secs(3);
+const KILL_DELAY: Duration = Duration::from_millis(700);
+const MAX_DEADLINE_AT_SHUTDOWN: Duration = Duration::from_secs(3);
 /// The last answers go out so long before: a process may be held for 0.15 s (STANDING).
-const BEFORE_KILL: Duration = Duration::from_millis(200);
+const KILL_MARGIN: Duration = Duration::from_millis(200);
 /// How often a full table is looked at for room.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(1);
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(1);
 /// No client waits longer than this; a figure beyond it is a mistake.
-const LONGEST_DEADLINE_MS: u64 = 3_600_000;
+const MAX_DEADLINE_MS: u64 = 3_600_000;
 
-type Answer = Response<AnswerBody>;
+type ClientResponse = Response<ResponseBody>;
 
 /// How a connection with a client came to its end.
 #[derive(Debug)]
-enum Over {
+enum ConnectionEnd {
     /// Either side was done with it.
     Served,
     /// The same, some time after its last answer.
@@ -70,34 +70,34 @@
     Left,
 }
 
-pub struct Front {
+pub struct ClientServer {
     engine: Handle,
-    memory: Rc<Memory>,
+    memory: Rc<BodyMemory>,
     figures: Rc<Figures>,
-    most: usize,
-    open: Cell<usize>,
+    max_connections: usize,
+    open_connections: Cell<usize>,
     /// Told when the table is full: those that idle are looked at at once.
-    crowd: Notify,
+    table_full: Notify,
     /// Since when connections have waited to be accepted, while some do.
     backlog_since: Cell<Option<Instant>>,
     lifecycle: Rc<Lifecycle>,
 }
 
-impl Front {
+impl ClientServer {
     pub fn new(
         engine: Handle,
         lifecycle: Rc<Lifecycle>,
         figures: Rc<Figures>,
-        memory: Rc<Memory>,
-        most: usize,
+        memory: Rc<BodyMemory>,
+        max_connections: usize,
     ) -> Self {
         Self {
             engine,
             figures,
             memory,
-            most,
-            open: Cell::new(0),
-            crowd: Notify::new(),
+            max_connections,
+            open_connections: Cell::new(0),
+            table_full: Notify::new(),
             backlog_since: Cell::new(None),
             lifecycle,
         }
@@ -114,85 +114,85 @@
             () = self.accept(&listener) => {}
             () = stop => {}
         }
-        self.engine.ending(self.engine.arrived() + self.time_to_end());
+        self.engine.ending(self.engine.arrived() + self.shutdown_time());
         // New connections still find us for a moment; where a newer process listens too, they are led to that one.
         // From here each answer asks its client to go elsewhere.
-        let mut ending = registration.end();
-        let succeeded = ending.succeeded();
-        self.lifecycle.stop(succeeded);
-        let turn = if succeeded {
+        let mut handover = registration.begin_handover();
+        let has_successor = handover.has_successor();
+        self.lifecycle.stop(has_successor);
+        let turn = if has_successor {
             tokio::select! {
                 () = self.accept(&listener) => None,
-                turn = ending.lead_away(&listener) => turn,
+                turn = handover.redirect(&listener) => turn,
             }
         } else {
             let _ = timeout(LINGER, self.accept(&listener)).await;
             None
         };
-        self.take_the_rest(listener).await;
-        drop((ending, turn));
+        self.accept_backlog(listener).await;
+        drop((handover, turn));
         let finished = async {
-            while self.open.get() > 0 {
+            while self.open_connections.get() > 0 {
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        let _ = timeout(FINISH, finished).await;
+        let _ = timeout(DRAIN_TIMEOUT, finished).await;
     }
 
     /// How long after SIGTERM the last answer has to be out.
-    fn time_to_end(&self) -> Duration {
+    fn shutdown_time(&self) -> Duration {
         let routing = self.engine.routing();
         let classes = routing.catalog.services.iter().flat_map(|s| &s.facts.classes);
         let longest = classes.map(|c| c.deadline.max(0.0)).fold(0.0, f64::max);
         let longest = Duration::try_from_secs_f64(longest / 1000.0).unwrap_or(Duration::MAX);
-        longest.min(LONGEST_BEFORE_KILL) + KILL_AFTER - BEFORE_KILL
+        longest.min(MAX_DEADLINE_AT_SHUTDOWN) + KILL_DELAY - KILL_MARGIN
     }
 
     /// Accepts what waits, and closes the listener with an empty queue: what a close finds there is reset. Those that
     /// find the table full wait a moment longer, for from here on each connection ends with its answer.
-    async fn take_the_rest(self: &Rc<Self>, listener: TcpListener) {
+    async fn accept_backlog(self: &Rc<Self>, listener: TcpListener) {
         let Ok(listener) = listener.into_std() else { return };
         let until = Instant::now() + LINGER;
         while Instant::now() < until {
-            if self.open.get() >= self.most {
-                self.backlog_waits();
-                sleep(ACCEPT_AGAIN).await;
+            if self.open_connections.get() >= self.max_connections {
+                self.mark_backlog_waiting();
+                sleep(ACCEPT_RETRY_INTERVAL).await;
                 continue;
             }
             // Asked directly: what the runtime has seen of it may be a moment old.
             match listener.accept() {
                 Ok((stream, _)) => {
                     match stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
-                        Ok(stream) => self.take(stream),
+                        Ok(stream) => self.spawn_connection(stream),
                         Err(cause) => tracing::warn!(%cause, "a connection is closed unread"),
                     }
                 }
                 Err(cause) if cause.kind() == ErrorKind::WouldBlock => return,
-                Err(_) => sleep(ACCEPT_AGAIN).await,
+                Err(_) => sleep(ACCEPT_RETRY_INTERVAL).await,
             }
         }
     }
 
-    fn take(self: &Rc<Self>, stream: TcpStream) {
-        self.open.set(self.open.get() + 1);
-        tokio::task::spawn_local(self.clone().converse(stream, self.backlog_since.get()));
+    fn spawn_connection(self: &Rc<Self>, stream: TcpStream) {
+        self.open_connections.set(self.open_connections.get() + 1);
+        tokio::task::spawn_local(self.clone().serve_connection(stream, self.backlog_since.get()));
     }
 
     async fn accept(self: &Rc<Self>, listener: &TcpListener) {
         loop {
             // Left in the backlog, a client waits a moment; without a descriptor it would be dropped.
-            if self.open.get() >= self.most {
-                self.backlog_waits();
-                self.crowd.notify_waiters();
-                while self.open.get() >= self.most {
-                    sleep(ACCEPT_AGAIN).await;
+            if self.open_connections.get() >= self.max_connections {
+                self.mark_backlog_waiting();
+                self.table_full.notify_waiters();
+                while self.open_connections.get() >= self.max_connections {
+                    sleep(ACCEPT_RETRY_INTERVAL).await;
                 }
             }
-            match self.next(listener).await {
-                Ok((stream, _)) => self.take(stream),
+            match self.accept_next(listener).await {
+                Ok((stream, _)) => self.spawn_connection(stream),
                 // Guards against EMFILE and aborted connections: neither is a reason to end.
                 Err(cause) => {
-                    self.backlog_waits();
+                    self.mark_backlog_waiting();
                     tracing::warn!(%cause, "accept");
                     after_failed_accept(&cause).await;
                 }
@@ -201,15 +201,15 @@
     }
 
     /// Connections may wait to be accepted from now on; those that idle are looked at.
-    fn backlog_waits(&self) {
+    fn mark_backlog_waiting(&self) {
         if self.backlog_since.get().is_none() {
             self.backlog_since.set(Some(Instant::now()));
-            self.crowd.notify_waiters();
+            self.table_full.notify_waiters();
         }
     }
 
     /// The next connection; once there is none, nobody waits any more.
-    async fn next(&self, listener: &TcpListener) -> std::io::Result<(TcpStream, SocketAddr)> {
+    async fn accept_next(&self, listener: &TcpListener) -> std::io::Result<(TcpStream, SocketAddr)> {
         // The runtime's budget for this task would pass for an empty backlog.
         let mut accept = pin!(unconstrained(listener.accept()));
         tokio::select! {
@@ -221,27 +221,27 @@
     }
 
     /// All requests of one connection.
-    async fn converse(self: Rc<Self>, stream: TcpStream, backlog_since: Option<Instant>) {
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream, backlog_since: Option<Instant>) {
         let _ = stream.set_nodelay(true);
         let socket = Socket::new(stream);
         let waited = backlog_since.filter(|_| socket.unread() == Unread::Bytes);
         let over = self.run_connection(&socket, waited).await;
         tracing::debug!(reason = ?over, "a client's connection ends");
-        if matches!(over, Over::Served) {
-            close(socket, self.crowded()).await;
+        if matches!(over, ConnectionEnd::Served) {
+            lingering_close(socket, self.is_crowded()).await;
         }
-        self.open.set(self.open.get() - 1);
+        self.open_connections.set(self.open_connections.get() - 1);
     }
 
-    async fn run_connection(&self, socket: &Socket, waited: Option<Instant>) -> Over {
+    async fn run_connection(&self, socket: &Socket, waited: Option<Instant>) -> ConnectionEnd {
         let client = Rc::new(ClientConnection::new(waited));
         let service = service_fn(|request| self.respond(request, socket, &client));
         let stream =
             ObservedStream { inner: TokioIo::new(socket.clone()), connection: client.clone() };
         let connection =
-            http1::Builder::new().max_buf_size(HEAD_LIMIT).serve_connection(stream, service);
+            http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).serve_connection(stream, service);
         tokio::pin!(connection);
-        let timed_out = client.timed_out(socket, || self.room(), &self.crowd);
+        let timed_out = client.timed_out(socket, || self.room(), &self.table_full);
         let abandoned = client.abandoned(socket);
         let time_to_close = self.lifecycle.time_to_close();
         tokio::pin!(timed_out, abandoned, time_to_close);
@@ -251,12 +251,12 @@
             tokio::select! {
                 biased;
                 _ = &mut connection => {
-                    return if client.answered_lately() { Over::Served } else { Over::Idle };
+                    return if client.answered_lately() { ConnectionEnd::Served } else { ConnectionEnd::Idle };
                 }
-                () = &mut timed_out => return Over::Lost,
-                () = &mut abandoned => return Over::Left,
+                () = &mut timed_out => return ConnectionEnd::Lost,
+                () = &mut abandoned => return ConnectionEnd::Left,
                 () = &mut time_to_close, if !closing => {
-                    if permit::close(&client.owed(socket)).is_err() {
+                    if permit::close(&client.close_facts(socket)).is_err() {
                         // Its answer tells the client to go; closed now, hyper would forget what has come of it.
                         time_to_close.set(self.lifecycle.time_to_close());
                     } else {
@@ -268,14 +268,14 @@
         }
     }
 
-    fn crowded(&self) -> bool {
+    fn is_crowded(&self) -> bool {
         self.room() != Room::Plenty
     }
 
     fn room(&self) -> Room {
-        match self.open.get() {
-            open if open >= self.most => Room::Full,
-            open if 2 * open > self.most => Room::Scarce,
+        match self.open_connections.get() {
+            open if open >= self.max_connections => Room::Full,
+            open if 2 * open > self.max_connections => Room::Scarce,
             _ => Room::Plenty,
         }
     }
@@ -285,7 +285,7 @@
         request: Request<Incoming>,
         socket: &Socket,
         connection: &Rc<ClientConnection>,
-    ) -> Result<Answer, Infallible> {
+    ) -> Result<ClientResponse, Infallible> {
         let guard = Rc::new(connection.begin_request());
         let routing = self.engine.routing();
         let unanswered = UnansweredRequest {
@@ -297,59 +297,59 @@
         let path = request.uri().path();
         let mut answer = if path == "/-/ready" {
             let ready = self.engine.ready() && self.lifecycle.address_served();
-            bare(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
+            empty_response(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
         } else if routing.catalog.is_single() && path != "/api" && !path.starts_with("/api/") {
-            bare(StatusCode::NOT_FOUND)
-        } else if let Some(place) = routing.find(host(&request), path) {
-            self.serve_one(request, place, socket.peer(), &guard).await
+            empty_response(StatusCode::NOT_FOUND)
+        } else if let Some(matched) = routing.find(host(&request), path) {
+            self.serve_one(request, matched, socket.peer(), &guard).await
         } else {
-            no_route(host(&request), path)
+            no_route_response(host(&request), path)
         };
         unanswered.answered();
         // Close to the limit, connections are given back so that waiting clients get their guard.
-        if !self.lifecycle.serving() || self.open.get() + self.most / 8 >= self.most {
+        if !self.lifecycle.serving() || self.open_connections.get() + self.max_connections / 8 >= self.max_connections {
             answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        Ok(answer.map(|body| body.holding(guard)))
+        Ok(answer.map(|body| body.with_guard(guard)))
     }
 
     /// One request of a service.
     async fn serve_one(
         &self,
         request: Request<Incoming>,
-        (place, service): (ServiceId, &Service),
+        (service_id, service): (ServiceId, &Service),
         client: Peer,
         guard: &Rc<RequestGuard>,
-    ) -> Answer {
+    ) -> ClientResponse {
         let (head, body) = request.into_parts();
         let id = head.headers.get("x-request-id").cloned();
         let length = body.size_hint().exact();
-        if length.is_some_and(|n| n > LARGEST) {
-            return broken(Broken::TooLarge, &id);
+        if length.is_some_and(|n| n > MAX_REQUEST_BODY_BYTES) {
+            return body_error_response(BodyError::TooLarge, &id);
         }
-        let body = RequestBody::new(body, guard.patience());
-        let room = length.map_or(KEPT, |n| usize::try_from(n).unwrap_or(KEPT).min(KEPT));
-        let hold = self.memory.hold(room);
-        let most = if hold.is_some() { KEPT } else { 0 };
-        let kept = match body.keep(most, length).await {
+        let body = RequestBody::new(body, guard.body_start_timeout());
+        let room = length.map_or(MAX_BUFFERED_BYTES, |n| usize::try_from(n).unwrap_or(MAX_BUFFERED_BYTES).min(MAX_BUFFERED_BYTES));
+        let hold = self.memory.reserve(room);
+        let most = if hold.is_some() { MAX_BUFFERED_BYTES } else { 0 };
+        let kept = match body.buffer(most, length).await {
             Ok(kept) => kept,
-            Err(why) => return broken(why, &id),
+            Err(why) => return body_error_response(why, &id),
         };
         if let Err(denial) = permit::start(client.has_closed()) {
             let request = id.as_ref().and_then(|id| id.to_str().ok());
             tracing::debug!(request, %denial, "a request is not taken");
-            return bare(StatusCode::BAD_REQUEST);
+            return empty_response(StatusCode::BAD_REQUEST);
         }
         // The request's time runs from its last byte; while more is to come, that is still ahead.
         let arrival =
-            match arrival(place, service, &head, &kept, guard.arrived(self.engine.arrived())) {
+            match arrival(service_id, service, &head, &kept, guard.arrived(self.engine.arrived())) {
                 Ok(arrival) => arrival,
                 Err(what) => {
                     drain(body, guard);
-                    return malformed(what);
+                    return malformed_response(what);
                 }
             };
-        let rest = (!body.is_whole()).then(|| body.clone());
+        let rest = (!body.is_complete()).then(|| body.clone());
         let class = arrival.class;
         let taken = OnceCell::new();
         let take = || {
@@ -362,47 +362,47 @@
         let forward = Forward {
             method: head.method,
             uri: origin_form(head.uri),
-            headers: onward(head.headers, length),
+            headers: upstream_headers(head.headers, length),
             body: Payload { kept, rest, length, _hold: hold },
             until: Cell::new(arrival.until),
             client,
         };
         let reply = match self.engine.ask(arrival, forward, &take).await {
             Ok(reply) => reply,
-            Err(why) => return broken(why, &id),
+            Err(why) => return body_error_response(why, &id),
         };
         drain(body, guard);
         let (end, answer) = match reply {
             Reply::Served(response) => {
                 let (mut head, served) = response.into_parts();
-                end_to_end(&mut head.headers);
+                remove_hop_by_hop_headers(&mut head.headers);
                 for internal in ["x-load", "x-not-run"] {
                     head.headers.remove(internal);
                 }
                 head.headers.remove(CONTENT_LENGTH);
-                let mut answer = Response::new(AnswerBody::served(served));
+                let mut answer = Response::new(ResponseBody::from_upstream(served));
                 *answer.headers_mut() = head.headers;
                 (End::Served, answer)
             }
             Reply::Refused { retry_after } => {
-                let mut answer = bare(StatusCode::SERVICE_UNAVAILABLE);
-                if let Some(value) = seconds(retry_after) {
+                let mut answer = empty_response(StatusCode::SERVICE_UNAVAILABLE);
+                if let Some(value) = retry_after_value(retry_after) {
                     answer.headers_mut().insert(RETRY_AFTER, value);
                 }
                 (End::Refused, answer)
             }
-            Reply::Failed { late: true } => (End::Failed, bare(StatusCode::GATEWAY_TIMEOUT)),
-            Reply::Failed { late: false } => (End::Failed, bare(StatusCode::BAD_GATEWAY)),
+            Reply::Failed { late: true } => (End::Failed, empty_response(StatusCode::GATEWAY_TIMEOUT)),
+            Reply::Failed { late: false } => (End::Failed, empty_response(StatusCode::BAD_GATEWAY)),
         };
         take();
         let Some(taken) = taken.into_inner() else { return answer };
-        answer.map(|body| body.of(taken, end))
+        answer.map(|body| body.counted_as(taken, end))
     }
 }
 
 /// Reads what the module needs to know of a request of this service; the error names what is wrong.
 fn arrival(
-    place: ServiceId,
+    service_id: ServiceId,
     service: &Service,
     head: &hyper::http::request::Parts,
     body: &Bytes,
@@ -421,12 +421,12 @@
         return Err("method");
     }
     let deadline = text("x-deadline-ms").and_then(|v| v.trim().parse::<u64>().ok());
-    let deadline = deadline.filter(|ms| (1..=LONGEST_DEADLINE_MS).contains(ms));
+    let deadline = deadline.filter(|ms| (1..=MAX_DEADLINE_MS).contains(ms));
     let deadline = Duration::from_millis(deadline.ok_or("X-Deadline-Ms")?);
     let tenant = service.tenant(text("x-tenant").unwrap_or_default()).ok_or("X-Tenant")?;
     let hint = text("x-cost-hint").and_then(|v| v.trim().parse::<f64>().ok());
     Ok(Arrival {
-        service: place,
+        service: service_id,
         class,
         tenant,
         key: cookie(&head.headers, "sid").map(key_hash),
@@ -443,9 +443,9 @@
     target.or_else(named).unwrap_or_default()
 }
 
-fn no_route(host: &str, path: &str) -> Answer {
+fn no_route_response(host: &str, path: &str) -> ClientResponse {
     let text = format!("no route: host {host:?}, path {path:?}\n");
-    let mut answer = Response::new(AnswerBody::whole(text.into()));
+    let mut answer = Response::new(ResponseBody::complete(text.into()));
     *answer.status_mut() = StatusCode::NOT_FOUND;
     answer
 }
@@ -496,31 +496,31 @@
     }
 }
 
-fn bare(status: StatusCode) -> Answer {
-    let mut answer = Response::new(AnswerBody::default());
+fn empty_response(status: StatusCode) -> ClientResponse {
+    let mut answer = Response::new(ResponseBody::default());
     *answer.status_mut() = status;
     answer
 }
 
 /// What a body that has no end gets.
-fn broken(why: Broken, id: &Option<HeaderValue>) -> Answer {
+fn body_error_response(why: BodyError, id: &Option<HeaderValue>) -> ClientResponse {
     let request = id.as_ref().and_then(|id| id.to_str().ok());
     tracing::info!(request, %why, "the body of a request");
-    bare(match why {
-        Broken::Slow => StatusCode::REQUEST_TIMEOUT,
-        Broken::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-        Broken::Cut => StatusCode::BAD_REQUEST,
+    empty_response(match why {
+        BodyError::Slow => StatusCode::REQUEST_TIMEOUT,
+        BodyError::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+        BodyError::Cut => StatusCode::BAD_REQUEST,
     })
 }
 
-fn malformed(what: &str) -> Answer {
-    let mut answer = Response::new(AnswerBody::whole(format!("malformed: {what}\n").into()));
+fn malformed_response(what: &str) -> ClientResponse {
+    let mut answer = Response::new(ResponseBody::complete(format!("malformed: {what}\n").into()));
     *answer.status_mut() = StatusCode::BAD_REQUEST;
     answer
 }
 
 /// `Retry-After` in decimal seconds; none for no advice.
-fn seconds(span: Span) -> Option<HeaderValue> {
+fn retry_after_value(span: Span) -> Option<HeaderValue> {
     if span.0 <= 0 {
         return None;
     }
@@ -539,8 +539,8 @@
 }
 
 /// The headers that go on to an upstream.
-fn onward(mut headers: HeaderMap, length: Option<u64>) -> HeaderMap {
-    end_to_end(&mut headers);
+fn upstream_headers(mut headers: HeaderMap, length: Option<u64>) -> HeaderMap {
+    remove_hop_by_hop_headers(&mut headers);
     headers.remove(EXPECT);
     headers.remove(CONTENT_LENGTH);
     // Of an unknown length, it goes on in chunks.
@@ -553,7 +553,7 @@
 }
 
 /// Takes out what concerns one connection only (RFC 9110, 7.6.1).
-fn end_to_end(headers: &mut HeaderMap) {
+fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
--- a/src/bin/hollowpaddle/config.rs
+++ b/src/bin/hollowpaddle/config.rs
@@ -14,10 +14,10 @@
 
 /// Descriptors that are neither a client's nor an upstream's: standard streams, the event queue, the
 /// listeners, the watch, signals; and the calls of operators.
-const RESERVED: usize = 24 + management::SHARE;
+const RESERVED_DESCRIPTORS: usize = 24 + management::SHARE;
 /// Where the platform states no limit.
-const SOCKETS: usize = 1024;
-const MEMORY_MB: f64 = 192.0;
+const DEFAULT_SOCKETS: usize = 1024;
+const DEFAULT_MEMORY_MB: f64 = 192.0;
 
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
@@ -132,7 +132,7 @@
 }
 
 /// What SIGHUP takes from the file.
-pub struct Anew {
+pub struct ReloadedConfig {
     pub discovery: Vec<SocketAddr>,
     /// Only the services of a file that names some are read anew.
     pub catalog: Option<Rc<Catalog>>,
@@ -156,24 +156,24 @@
 
     fn from_file(file: File) -> Result<Self, ConfigError> {
         // The environment and the file say the same; the environment is the platform's first word.
-        let say = |name: &str, file: String| std::env::var(name).unwrap_or(file);
-        let address = |name: &'static str, file: String| address(name, say(name, file));
+        let env_or = |name: &str, file: String| std::env::var(name).unwrap_or(file);
+        let address = |name: &'static str, file: String| address(name, env_or(name, file));
         let catalog = file.catalog()?;
-        let sockets = file.limits.sockets.unwrap_or(SOCKETS);
-        if sockets < 2 * RESERVED {
+        let sockets = file.limits.sockets.unwrap_or(DEFAULT_SOCKETS);
+        if sockets < 2 * RESERVED_DESCRIPTORS {
             return Err(ConfigError::TooFewSockets(sockets));
         }
         let management = match (std::env::var("LB_MANAGEMENT"), file.management) {
-            (Ok(said), _) => Some(self::address("LB_MANAGEMENT", said)?),
-            (Err(_), Some(said)) => Some(self::address("management", said)?),
+            (Ok(value), _) => Some(self::address("LB_MANAGEMENT", value)?),
+            (Err(_), Some(value)) => Some(self::address("management", value)?),
             (Err(_), None) => None,
         };
-        let memory_mb = file.limits.memory_mb.filter(|mb| *mb > 0.0).unwrap_or(MEMORY_MB);
+        let memory_mb = file.limits.memory_mb.filter(|mb| *mb > 0.0).unwrap_or(DEFAULT_MEMORY_MB);
         let seed = file.seed.unwrap_or_default();
         Ok(Self {
-            name: say("LB_NAME", file.name),
+            name: env_or("LB_NAME", file.name),
             listen: address("LB_LISTEN", file.listen)?,
-            discovery: addresses("LB_DISCOVERY", say("LB_DISCOVERY", file.discovery))?,
+            discovery: addresses("LB_DISCOVERY", env_or("LB_DISCOVERY", file.discovery))?,
             management,
             state_dir: std::env::var_os("LB_STATE_DIR").map(PathBuf::from).or(file.state_dir),
             seed: hollowpaddle::settings::key_hash(&seed),
@@ -187,16 +187,16 @@
 
     /// What the file says by now of discovery and services, checked whole. The environment can't change after the
     /// start, so only the file counts.
-    pub fn anew() -> Result<Anew, ConfigError> {
+    pub fn reload() -> Result<ReloadedConfig, ConfigError> {
         let file = File::read()?;
         let catalog = file.services.is_some().then(|| file.catalog()).transpose()?;
-        Ok(Anew { discovery: addresses("discovery", file.discovery)?, catalog })
+        Ok(ReloadedConfig { discovery: addresses("discovery", file.discovery)?, catalog })
     }
 
     /// Half the descriptors for each side. Every attempt belongs to a client's request, so while clients
     /// keep to their half, upstreams can never need more than theirs.
     pub fn budget(&self) -> Budget {
-        let half = (self.sockets - RESERVED) / 2;
+        let half = (self.sockets - RESERVED_DESCRIPTORS) / 2;
         Budget { clients: half, upstreams: half }
     }
 }
--- a/src/bin/hollowpaddle/engine.rs
+++ b/src/bin/hollowpaddle/engine.rs
@@ -396,7 +396,7 @@
         let now = Instant::now();
         let room = headroom(latest, now);
         let until = latest - room;
-        let whole = forward.body.rest.as_ref().is_none_or(|r| r.is_whole());
+        let whole = forward.body.rest.as_ref().is_none_or(|r| r.is_complete());
         let coming = (!whole).then(|| arrival.until.saturating_duration_since(now));
         let service = arrival.service;
         let held = Held {
@@ -524,7 +524,7 @@
         let held = self.requests.get(&id);
         let service = held.map(|h| h.service);
         let over = held.is_none_or(|h| h.reply.is_none());
-        let spent = held.is_some_and(|h| h.forward.body.is_spent());
+        let spent = held.is_some_and(|h| h.forward.body.is_consumed());
         let answer = d::Answer {
             report: ended.report,
             spent,
@@ -631,7 +631,7 @@
         let target = self.upstreams.target(server);
         let mut tried = Try { server, sent: now, task: None };
         let over = held.reply.is_none() || attempt >= self.max_attempts || now >= until;
-        let over = over || held.forward.body.is_spent();
+        let over = over || held.forward.body.is_consumed();
         let (Some(target), false) = (target, over || twice) else {
             held.attempts.push(tried);
             self.later.push_back((id, attempt, Ended::bare(Outcome::NotSent)));
--- a/src/bin/hollowpaddle/engine/handle.rs
+++ b/src/bin/hollowpaddle/engine/handle.rs
@@ -10,7 +10,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-use crate::bodies::{Broken, Served};
+use crate::bodies::{BodyError, UpstreamResponse};
 use crate::lateness::Lateness;
 use crate::upstreams::{Ended, Forward};
 
@@ -53,7 +53,7 @@
 
 /// The one final answer.
 pub enum Reply {
-    Served(Box<Response<Served>>),
+    Served(Box<Response<UpstreamResponse>>),
     Refused { retry_after: Span },
     Failed { late: bool },
 }
@@ -126,7 +126,7 @@
         arrival: Arrival,
         forward: Forward,
         whole: impl FnOnce(),
-    ) -> Result<Reply, Broken> {
+    ) -> Result<Reply, BodyError> {
         let id = RequestId(self.next.replace(self.next.get() + 1));
         let (reply, mut answer) = oneshot::channel();
         let rest = forward.body.rest.clone();
--- a/src/bin/hollowpaddle/guard.rs
+++ b/src/bin/hollowpaddle/guard.rs
@@ -140,7 +140,7 @@
     /// By how much the deadline in the request exceeds what the client has left. While its body is still coming, its
     /// time has not begun.
     fn deadline_excess(&self, now: Instant) -> Duration {
-        let coming = self.forward.body.rest.as_ref().is_some_and(|rest| !rest.is_whole());
+        let coming = self.forward.body.rest.as_ref().is_some_and(|rest| !rest.is_complete());
         let Some(told) = self.told.get().filter(|_| !coming) else { return Duration::ZERO };
         told.saturating_sub(self.forward.until.get().saturating_duration_since(now))
     }
--- a/src/bin/hollowpaddle/main.rs
+++ b/src/bin/hollowpaddle/main.rs
@@ -1,4 +1,4 @@
-//! One balancer on real sockets: clients in front, upstreams behind, every decision in the module.
+//! One balancer on real sockets: clients in server, upstreams behind, every decision in the module.
 //!
 //! Everything runs on one thread. The tasks that do I/O tell the [`engine`] what happened and carry out
 //! what it says; only the engine touches the module.
@@ -26,13 +26,13 @@
 use hollowpaddle::figures::Figures;
 use hollowpaddle::release::plan::Plan;
 use hollowpaddle::roles::{self, RoleError};
-use hollowpaddle::signals::{Kind, Signals};
+use hollowpaddle::signals::{SignalKind, Signals};
 
 use tokio::task::LocalSet;
 
-use bodies::Memory;
-use clients::Front;
-use config::{Anew, Config};
+use bodies::BodyMemory;
+use clients::ClientServer;
+use config::{ReloadedConfig, Config};
 use engine::{Engine, Handle};
 use lifecycle::Lifecycle;
 use management::Management;
@@ -41,7 +41,7 @@
 
 /// Bodies that are kept whole may use this part of the memory; buffers on the way and a second process beside
 /// this one need the rest.
-const KEPT_OF_MEMORY: usize = 4;
+const BUFFERED_BODY_MEMORY_DIVISOR: usize = 4;
 
 /// How the program ended other than well: a refused configuration, or a failure once it ran.
 enum Failure {
@@ -112,7 +112,7 @@
     let runtime = runtime.map_err(|e| Failure::Run(format!("runtime: {e}")))?;
     LocalSet::new().block_on(&runtime, async {
         // Before the file is read, which may be long: unhandled, the signal ends the program.
-        let hangup = Signals::of(Kind::Hangup);
+        let hangup = Signals::of(SignalKind::Hangup);
         let hangup = hangup.map_err(|e| Failure::Run(format!("SIGHUP: {e}")))?;
         let config = Config::from_env().map_err(|e| Failure::Config(e.to_string()))?;
         run(config, hangup).await.map_err(Failure::Run)
@@ -120,10 +120,10 @@
 }
 
 async fn run(config: Config, hangup: Signals) -> Result<(), String> {
-    let mut term = Signals::of(Kind::Terminate).map_err(|e| format!("SIGTERM: {e}"))?;
+    let mut term = Signals::of(SignalKind::Terminate).map_err(|e| format!("SIGTERM: {e}"))?;
     let open = |address| listen(address).map_err(|e| format!("listen on {address}: {e}"));
     let listener = open(config.listen)?;
-    let calls = config.management.map(open).transpose()?;
+    let management_listener = config.management.map(open).transpose()?;
     let budget = config.budget();
     let figures = Figures::new(config.management.is_some());
     for (service, classes) in engine::named(&config.catalog) {
@@ -131,25 +131,25 @@
     }
     let keeper = config.state_dir.as_deref().map(Keeper::open).transpose();
     let keeper = keeper.map_err(|e| format!("state_dir: {e}"))?;
-    let memory = Memory::new(config.memory / KEPT_OF_MEMORY);
+    let memory = BodyMemory::new(config.memory / BUFFERED_BODY_MEMORY_DIVISOR);
     let pool = Pool::new(budget.upstreams, &config, &figures, memory.clone());
     let (engine, handle) = Engine::new(&config, pool, figures.clone(), keeper)
         .map_err(|e| format!("settings: {e}"))?;
     let engine = tokio::task::spawn_local(engine.run());
     tokio::task::spawn_local(reconfigure(hangup, handle.clone()));
     let lifecycle = Rc::new(Lifecycle::new());
-    if let Some(calls) = calls {
-        let at = calls.local_addr().map_err(|e| format!("management address: {e}"))?;
+    if let Some(management_listener) = management_listener {
+        let at = management_listener.local_addr().map_err(|e| format!("management address: {e}"))?;
         tracing::info!("operators call at {at}");
         let management = Management::new(handle.clone(), lifecycle.clone(), figures.clone());
-        tokio::task::spawn_local(management.serve(calls));
+        tokio::task::spawn_local(management.serve(management_listener));
     }
     // The bound address, not the wanted one: with port 0 it is the only word of where clients connect.
     let bound = listener.local_addr().map_err(|e| format!("listen on {}: {e}", config.listen))?;
     tracing::info!(name = config.name, "listening on {bound}");
-    let front = Rc::new(Front::new(handle, lifecycle, figures, memory, budget.clients));
-    let registration = ProcessRegistration::leave(bound, &listener);
-    let serve = front.serve(listener, registration, async move {
+    let server = Rc::new(ClientServer::new(handle, lifecycle, figures, memory, budget.clients));
+    let registration = ProcessRegistration::register(bound, &listener);
+    let serve = server.serve(listener, registration, async move {
         if let Err(cause) = term.recv().await {
             tracing::error!(%cause, "SIGTERM is not heard any more");
         }
@@ -164,8 +164,8 @@
 /// On SIGHUP the file may name another address of discovery, and other services and routes. Failure: unhandled, the signal ended the program.
 async fn reconfigure(mut hangup: Signals, engine: Handle) {
     while hangup.recv().await.is_ok() {
-        match Config::anew() {
-            Ok(Anew { discovery, catalog }) => {
+        match Config::reload() {
+            Ok(ReloadedConfig { discovery, catalog }) => {
                 tracing::info!(addresses = ?discovery, "discovery has moved");
                 engine.discovery_moved(discovery);
                 engine.reload(catalog);
--- a/src/bin/hollowpaddle/succession/tests.rs
+++ b/src/bin/hollowpaddle/succession/tests.rs
@@ -16,7 +16,7 @@
     fn start(at: SocketAddr) -> Self {
         let listener = listen(at).expect("an address");
         let registration =
-            ProcessRegistration::leave(listener.local_addr().expect("bound"), &listener);
+            ProcessRegistration::register(listener.local_addr().expect("bound"), &listener);
         Self { listener, registration }
     }
 
@@ -55,9 +55,9 @@
         let at = older.address();
         let newer = Node::start(at);
         let (ends, stays) = if older_ends { (older, newer) } else { (newer, older) };
-        let mut ending = ends.registration.end();
-        assert!(ending.succeeded());
-        let _turn = ending.lead_away(&ends.listener).await;
+        let mut ending = ends.registration.begin_handover();
+        assert!(ending.has_successor());
+        let _turn = ending.redirect(&ends.listener).await;
         assert_eq!(comers(at, &[&ends.listener, &stays.listener]).await, [0, CLIENTS]);
         drop(ends.listener);
         assert_eq!(comers(at, &[&stays.listener]).await, [CLIENTS]);
@@ -71,14 +71,14 @@
         let at = first.address();
         let mut group = vec![first, Node::start(at), Node::start(at)];
         let stays = group.remove(stays);
-        let mut endings: Vec<(TcpListener, Ending)> =
-            group.into_iter().map(|node| (node.listener, node.registration.end())).collect();
+        let mut endings: Vec<(TcpListener, Handover)> =
+            group.into_iter().map(|node| (node.listener, node.registration.begin_handover())).collect();
         if older_first {
             endings.reverse();
         }
         while let Some((listener, mut ending)) = endings.pop() {
-            assert!(ending.succeeded());
-            let turn = ending.lead_away(&listener).await;
+            assert!(ending.has_successor());
+            let turn = ending.redirect(&listener).await;
             let counts = comers(at, &[&listener, &stays.listener]).await;
             assert_eq!(counts, [0, CLIENTS], "{} more end", endings.len());
             drop((listener, ending, turn));
@@ -92,11 +92,11 @@
     let first = Node::start(anywhere());
     let at = first.address();
     let (second, _stays) = (Node::start(at), Node::start(at));
-    let (mut one, mut other) = (first.registration.end(), second.registration.end());
-    let turn = one.lead_away(&first.listener).await.expect("nobody else ends");
-    assert!(timeout(SETTLE, other.lead_away(&second.listener)).await.is_err(), "it waits");
+    let (mut one, mut other) = (first.registration.begin_handover(), second.registration.begin_handover());
+    let turn = one.redirect(&first.listener).await.expect("nobody else ends");
+    assert!(timeout(REDIRECT_SETTLE_TIME, other.redirect(&second.listener)).await.is_err(), "it waits");
     drop((first.listener, one, turn));
-    assert!(other.lead_away(&second.listener).await.is_some());
+    assert!(other.redirect(&second.listener).await.is_some());
 }
 
 #[tokio::test]
@@ -104,8 +104,8 @@
     let older = Node::start(anywhere());
     let at = older.address();
     let newer = Node::start(at);
-    let mut ending = older.registration.end();
-    let turn = ending.lead_away(&older.listener).await;
+    let mut ending = older.registration.begin_handover();
+    let turn = ending.redirect(&older.listener).await;
     drop((older.listener, ending, turn));
     let newest = Node::start(at);
     let counts = comers(at, &[&newer.listener, &newest.listener]).await;
@@ -119,20 +119,20 @@
     let at = older.address();
     let killed = Node::start(at);
     // What a SIGKILL leaves: the file without its lock.
-    let file = killed.registration.path(SERVES);
+    let file = killed.registration.path(SERVING);
     drop((killed.listener, killed.registration));
     assert!(file.exists());
     let newer = Node::start(at);
-    let (one, other) = (older.registration.end(), newer.registration.end());
+    let (one, other) = (older.registration.begin_handover(), newer.registration.begin_handover());
     assert!(!file.exists(), "nobody's registration is removed");
-    assert!(one.succeeded(), "the other served then");
-    assert!(!other.succeeded());
+    assert!(one.has_successor(), "the other served then");
+    assert!(!other.has_successor());
 }
 
 #[test]
 fn a_clock_that_was_set_back_between_two_starts_swaps_no_processes() {
     let by_wall_clock =
         format!("{:024}", std::time::UNIX_EPOCH.elapsed().expect("after it").as_nanos());
-    let (first, second) = (started(), started());
+    let (first, second) = (start_time(), start_time());
     assert!(by_wall_clock < first && first <= second, "{by_wall_clock}, {first}, {second}");
 }
--- a/src/bin/hollowpaddle/upstreams.rs
+++ b/src/bin/hollowpaddle/upstreams.rs
@@ -26,10 +26,10 @@
 use tokio::net::TcpSocket;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-use crate::bodies::{BUFFER, Due, KEPT, Memory, Outgoing, Payload, Served};
+use crate::bodies::{CONNECTION_BUFFER_BYTES, BodyProgress, MAX_BUFFERED_BYTES, BodyMemory, UpstreamRequestBody, Payload, UpstreamResponse};
 use crate::config::Config;
 use crate::guard::AttemptGuard;
-use crate::succession::SOCKET_BUFFER;
+use crate::succession::SOCKET_BUFFER_BYTES;
 use connection::{Counted, Link, Open, Written};
 use hollowpaddle::socket::{Peer, Socket, Unread};
 pub use streamed_response::StreamedResponse;
@@ -79,7 +79,7 @@
     pub outcome: Outcome,
     pub report: Report,
     /// The answer, if it served.
-    pub response: Option<Box<Response<Served>>>,
+    pub response: Option<Box<Response<UpstreamResponse>>>,
     /// Why it did not begin, where its guard said no.
     pub denial: Option<Denial>,
 }
@@ -116,12 +116,12 @@
     fields: Vec<(String, Field)>,
     tries: Counter,
     violations: Violations,
-    memory: Rc<Memory>,
+    memory: Rc<BodyMemory>,
 }
 
 impl Pool {
     /// Counts in these figures the attempts that were written whole, and the rules that they broke.
-    pub fn new(most: usize, config: &Config, figures: &Figures, memory: Rc<Memory>) -> Rc<Self> {
+    pub fn new(most: usize, config: &Config, figures: &Figures, memory: Rc<BodyMemory>) -> Rc<Self> {
         let limits = &config.facts.policy_limits;
         let ms = |ms: f64, default: f64| {
             let ms = if ms > 0.0 && ms < 1e7 { ms } else { default };
@@ -226,8 +226,8 @@
         let open = Open::new(&self.open);
         let socket =
             if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }.ok()?;
-        socket.set_send_buffer_size(SOCKET_BUFFER).ok()?;
-        socket.set_recv_buffer_size(SOCKET_BUFFER).ok()?;
+        socket.set_send_buffer_size(SOCKET_BUFFER_BYTES).ok()?;
+        socket.set_recv_buffer_size(SOCKET_BUFFER_BYTES).ok()?;
         let stream = timeout(self.connect_timeout, socket.connect(address)).await.ok()?.ok()?;
         stream.set_nodelay(true).ok()?;
         let (tries, violations) = (self.tries.clone(), self.violations.clone());
@@ -236,7 +236,7 @@
         let peer = socket.peer();
         let io = Counted { inner: TokioIo::new(socket), written: written.clone() };
         let (sender, connection) =
-            http1::Builder::new().max_buf_size(BUFFER).handshake(io).await.ok()?;
+            http1::Builder::new().max_buf_size(CONNECTION_BUFFER_BYTES).handshake(io).await.ok()?;
         let pool = Rc::downgrade(self);
         let task = tokio::task::spawn_local(async move {
             let _open = open;
@@ -315,7 +315,7 @@
             let Some(request) = forward.request(until, sent, &link.written, guard) else {
                 return Ended::bare(Outcome::NotSent);
             };
-            let again = || reused && sent.untouched() && !forward.body.is_spent();
+            let again = || reused && sent.untouched() && !forward.body.is_consumed();
             let answer = link.sender.send_request(request).await;
             match guard.denial() {
                 None => {}
@@ -355,9 +355,9 @@
         // Nobody is shown the body of an answer that did not serve.
         let serves = outcome == Outcome::Ok;
         let length = body.size_hint().exact();
-        let room = length.map_or(KEPT, |n| usize::try_from(n).unwrap_or(usize::MAX));
-        let hold = (room <= KEPT && serves).then(|| self.memory.hold(room)).flatten();
-        let most = if hold.is_some() || !serves { KEPT } else { 0 };
+        let room = length.map_or(MAX_BUFFERED_BYTES, |n| usize::try_from(n).unwrap_or(usize::MAX));
+        let hold = (room <= MAX_BUFFERED_BYTES && serves).then(|| self.memory.reserve(room)).flatten();
+        let most = if hold.is_some() || !serves { MAX_BUFFERED_BYTES } else { 0 };
         let Ok((kept, whole)) = first_part(&mut body, most, length).await else {
             // Cut short: it ran, and there is nothing to pass on.
             return Ended { report, ..Ended::bare(Outcome::Reset) };
@@ -370,7 +370,7 @@
             Some(StreamedResponse::new(forward, body, kept.len(), length, back))
         };
         let response =
-            serves.then(|| Box::new(Response::from_parts(head, Served { kept, rest, hold })));
+            serves.then(|| Box::new(Response::from_parts(head, UpstreamResponse { kept, rest, hold })));
         Ended { outcome, report, response, denial: None }
     }
 }
@@ -423,7 +423,7 @@
         let (mut seen, mut since) = (sent.bytes(), Instant::now());
         while since.elapsed() < STALL {
             sleep(STALL_STEP).await;
-            if rest.waits() || sent.bytes() != seen {
+            if rest.is_waiting_for_client() || sent.bytes() != seen {
                 (seen, since) = (sent.bytes(), Instant::now());
             }
         }
@@ -458,11 +458,11 @@
 #[derive(Default)]
 struct Sent {
     written: RefCell<Option<(Written, u64)>>,
-    due: RefCell<Due>,
+    due: RefCell<BodyProgress>,
 }
 
 impl Sent {
-    fn start(&self, written: &Written, due: Due) {
+    fn start(&self, written: &Written, due: BodyProgress) {
         let from = written.bytes.get();
         // Where more may come, it is set once all of it was given.
         written.whole_at.set(due.all.get().then(|| from + due.bytes.get()));
@@ -489,11 +489,11 @@
         sent: &Sent,
         written: &Written,
         guard: &Rc<AttemptGuard>,
-    ) -> Option<Request<Outgoing>> {
-        let due = Due::default();
+    ) -> Option<Request<UpstreamRequestBody>> {
+        let due = BodyProgress::default();
         let (from, of, all) = (written.bytes.get(), written.clone(), due.clone());
         let given = move || of.whole_at.set(Some(from + all.bytes.get()));
-        let mut request = Request::new(Outgoing::new(&self.body, due.clone(), Box::new(given)));
+        let mut request = Request::new(UpstreamRequestBody::new(&self.body, due.clone(), Box::new(given)));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
--- a/src/bin/hollowpaddle/upstreams/connection.rs
+++ b/src/bin/hollowpaddle/upstreams/connection.rs
@@ -15,7 +15,7 @@
 use prometheus_client::metrics::counter::Counter;
 use tokio::time::Instant;
 
-use crate::bodies::Outgoing;
+use crate::bodies::UpstreamRequestBody;
 use crate::guard::AttemptGuard;
 
 /// Bytes handed to the kernel on a connection. What was not handed over cannot have run.
@@ -118,7 +118,7 @@
 
 /// A connection that no attempt is using, or that one attempt is.
 pub(super) struct Link {
-    pub(super) sender: SendRequest<Outgoing>,
+    pub(super) sender: SendRequest<UpstreamRequestBody>,
     pub(super) written: Written,
     pub(super) peer: Peer,
     pub(super) address: SocketAddr,
--- a/src/bin/hollowpaddle/upstreams/streamed_response.rs
+++ b/src/bin/hollowpaddle/upstreams/streamed_response.rs
@@ -12,7 +12,7 @@
 
 use super::connection::Link;
 use super::{Forward, Pool, STALL};
-use crate::bodies::{Broken, KEPT};
+use crate::bodies::{BodyError, MAX_BUFFERED_BYTES};
 
 /// An answer that may be small has to end this long after its client's time at the latest (STANDING: half a second).
 const END_WITHIN: Duration = Duration::from_millis(300);
@@ -63,7 +63,7 @@
     /// any other has to end, or be seen to be cut, soon after its client's time.
     fn patience(&self, now: Instant) -> Instant {
         let stalled = now + STALL;
-        if self.size > KEPT as u64 {
+        if self.size > MAX_BUFFERED_BYTES as u64 {
             return stalled;
         }
         let pace = if self.sized { 0.0 } else { self.size as f64 / LARGE_RATE };
@@ -88,7 +88,7 @@
     }
 
     /// The next piece; `None` at the end.
-    pub fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
+    pub fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         loop {
             match Pin::new(&mut self.body).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
@@ -105,7 +105,7 @@
                 }
                 Poll::Ready(Some(Err(cause))) => {
                     tracing::info!(request = self.request, %cause, "an answer broke off on its way");
-                    return Poll::Ready(Some(Err(Broken::Cut)));
+                    return Poll::Ready(Some(Err(BodyError::Cut)));
                 }
                 Poll::Ready(None) => {
                     self.end();
@@ -120,7 +120,7 @@
                     }
                     ready!(self.timer.as_mut().poll(cx));
                     tracing::info!(request = self.request, "an answer stalled on its way");
-                    return Poll::Ready(Some(Err(Broken::Slow)));
+                    return Poll::Ready(Some(Err(BodyError::Slow)));
                 }
             }
         }
--- a/src/roles/mod.rs
+++ b/src/roles/mod.rs
@@ -30,7 +30,7 @@
 use crate::replica::host::{Host, HostError, Setup};
 use crate::replica::machine::Machine;
 use crate::replica::storage::Kept;
-use crate::signals::{Kind, Signals};
+use crate::signals::{SignalKind, Signals};
 use crate::stand_in::Manner;
 use crate::store::Recovery;
 use crate::store::log::{self, Contents};
@@ -95,8 +95,8 @@
 
 /// Runs `serving` until it ends, or until SIGTERM or SIGINT; then it is dropped, and `None` returned.
 async fn until_stopped<T>(serving: impl Future<Output = T>) -> Result<Option<T>, RoleError> {
-    let mut term = Signals::of(Kind::Terminate).map_err(RoleError::Start)?;
-    let mut interrupt = Signals::of(Kind::Interrupt).map_err(RoleError::Start)?;
+    let mut term = Signals::of(SignalKind::Terminate).map_err(RoleError::Start)?;
+    let mut interrupt = Signals::of(SignalKind::Interrupt).map_err(RoleError::Start)?;
     tokio::select! {
         ended = serving => return Ok(Some(ended)),
         _ = term.recv() => {}
--- a/src/signals/mod.rs
+++ b/src/signals/mod.rs
@@ -10,7 +10,7 @@
 
 /// A signal that the program handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum SignalKind {
     /// SIGHUP: the configuration has changed.
     Hangup,
     /// SIGINT: somebody at a terminal ends the program.
@@ -19,12 +19,12 @@
     Terminate,
 }
 
-impl Kind {
+impl SignalKind {
     fn number(self) -> i32 {
         match self {
-            Kind::Hangup => SIGHUP,
-            Kind::Interrupt => SIGINT,
-            Kind::Terminate => SIGTERM,
+            SignalKind::Hangup => SIGHUP,
+            SignalKind::Interrupt => SIGINT,
+            SignalKind::Terminate => SIGTERM,
         }
     }
 }
@@ -38,7 +38,7 @@
     ///
     /// # Errors
     /// What the system says of the pipe or of the handler.
-    pub fn of(kind: Kind) -> std::io::Result<Self> {
+    pub fn of(kind: SignalKind) -> std::io::Result<Self> {
         let (sender, receiver) = pipe::pipe()?;
         register(kind.number(), sender.into_nonblocking_fd()?)?;
         Ok(Self(receiver))
--- a/src/socket/mod.rs
+++ b/src/socket/mod.rs
@@ -22,13 +22,13 @@
 use tokio::time::sleep;
 
 /// Failed calls in a row on a connection that still stands, before the failure is believed.
-const FAILURES_IN_A_ROW: u32 = 64;
+const MAX_CONSECUTIVE_FAILURES: u32 = 64;
 
 /// Wait after an accept that failed for want of descriptors or memory: a retry at once would be a busy loop.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Failures of accept that concern the one connection, or the call alone (accept(2)): the next is accepted at once.
-const OF_ONE_CONNECTION: [i32; 12] = [
+const PER_CONNECTION_ERRORS: [i32; 12] = [
     libc::EINTR,
     libc::ECONNABORTED,
     libc::EPERM,
@@ -44,13 +44,13 @@
 ];
 
 /// Whether a failed accept says nothing of the connections behind it.
-fn is_of_one_connection(cause: &std::io::Error) -> bool {
-    cause.raw_os_error().is_some_and(|code| OF_ONE_CONNECTION.contains(&code))
+fn is_per_connection_error(cause: &std::io::Error) -> bool {
+    cause.raw_os_error().is_some_and(|code| PER_CONNECTION_ERRORS.contains(&code))
 }
 
 /// Waits after a failed accept until the next is worth a try.
 pub async fn after_failed_accept(cause: &std::io::Error) {
-    if is_of_one_connection(cause) {
+    if is_per_connection_error(cause) {
         yield_now().await;
     } else {
         sleep(ACCEPT_BACKOFF).await;
@@ -95,7 +95,7 @@
     }
 
     /// Whether a failed call says nothing of the connection.
-    fn still_stands(&self, cause: &std::io::Error) -> bool {
+    fn is_transient(&self, cause: &std::io::Error) -> bool {
         cause.kind() == ErrorKind::Interrupted || !self.peer_closed()
     }
 
@@ -112,7 +112,7 @@
             ready!(ready(&self.0, cx))?;
             match call(&self.0) {
                 Err(cause) if cause.kind() == ErrorKind::WouldBlock => {}
-                Err(cause) if failures < FAILURES_IN_A_ROW && self.still_stands(&cause) => {
+                Err(cause) if failures < MAX_CONSECUTIVE_FAILURES && self.is_transient(&cause) => {
                     failures += 1;
                 }
                 result => return Poll::Ready(result),
@@ -143,30 +143,30 @@
             Ok(0) => return Unread::End,
             Ok(_) => return Unread::Bytes,
             Err(cause) if cause.kind() == ErrorKind::Interrupted => {}
-            Err(cause) if is_shortage(&cause) => return Unread::Nothing,
+            Err(cause) if is_temporary(&cause) => return Unread::Nothing,
             Err(_) => return Unread::End,
         }
     }
 }
 
 /// Whether a call failed by what the system lacks at the moment, or would have had to wait.
-fn is_shortage(cause: &std::io::Error) -> bool {
-    let lacking = [libc::ENOBUFS, libc::ENOMEM].map(Some).contains(&cause.raw_os_error());
-    lacking || cause.kind() == ErrorKind::WouldBlock
+fn is_temporary(cause: &std::io::Error) -> bool {
+    let out_of_memory = [libc::ENOBUFS, libc::ENOMEM].map(Some).contains(&cause.raw_os_error());
+    out_of_memory || cause.kind() == ErrorKind::WouldBlock
 }
 
 fn peer_closed(stream: &TcpStream) -> bool {
-    told_closed(stream) || unread(stream) == Unread::End || seen_closed(stream)
+    poll_reports_close(stream) || unread(stream) == Unread::End || runtime_reports_close(stream)
 }
 
 /// Asks the kernel, which tells a close also behind unread bytes.
-fn told_closed(stream: &TcpStream) -> bool {
+fn poll_reports_close(stream: &TcpStream) -> bool {
     // An error and a full hang-up are told unasked.
     let closes = PollFlags::from_bits_retain(libc::POLLRDHUP);
     let mut asked = [PollFd::new(stream.as_fd(), closes)];
     loop {
         match poll(&mut asked, PollTimeout::ZERO) {
-            Ok(told) => return told > 0,
+            Ok(ready) => return ready > 0,
             Err(Errno::EINTR) => {}
             Err(_) => return false,
         }
@@ -174,7 +174,7 @@
 }
 
 /// What the runtime has seen of it.
-fn seen_closed(stream: &TcpStream) -> bool {
+fn runtime_reports_close(stream: &TcpStream) -> bool {
     let state =
         pin!(stream.ready(Interest::READABLE)).poll(&mut Context::from_waker(Waker::noop()));
     matches!(state, Poll::Ready(Ok(state)) if state.is_read_closed())
