--- a/src/bin/hollowpaddle/bodies.rs
+++ b/src/bin/hollowpaddle/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies on their way through: what is kept whole, and what is passed on as fast as the other side takes it.
+//! Request and response bodies: small ones are buffered completely, larger ones are streamed at the receiver's pace.
 
 use std::cell::{Cell, RefCell};
 use std::future::{Future, poll_fn};
@@ -15,39 +15,39 @@
 use crate::upstreams::StreamedResponse;
 use hollowpaddle::figures::{End, Taken};
 
-/// A body or an answer up to this size is kept whole; of a larger one, no more than its first part.
+/// A request or response body up to this size is buffered completely; of a larger one, only its first part.
 pub const MAX_BUFFERED_BYTES: usize = 64 << 10;
-/// The largest body of a request.
+/// Maximum size of a request body; a larger one is answered 413.
 pub const MAX_REQUEST_BODY_BYTES: u64 = 32 << 20;
-/// What one connection buffers on the way, on either side.
+/// Maximum read buffer of an upstream connection.
 pub const CONNECTION_BUFFER_BYTES: usize = 32 << 10;
-/// Bytes a second that a client has to send of a body. Slow ones are owed 64 kB/s; the rest is for pieces that
-/// come unevenly.
+/// Minimum rate at which a client must send a body. Clients at 64 kB/s must be served; the lower limit allows for
+/// uneven arrival.
 const MIN_BYTES_PER_SECOND: f64 = 48_000.0;
-/// Most of the time earned by sending faster that may be used up in one wait.
+/// Upper limit of the waiting time that a client earns by sending faster than the minimum rate.
 const MAX_WAIT: Duration = Duration::from_millis(2500);
-/// How long the rest of a body is still read after its request was answered, as long as it comes on.
+/// How long the rest of a body is read after its request was answered, if it keeps the minimum rate.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Why a body ended before its end.
+/// Why a body could not be read to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    #[error("it comes too slowly")]
+    #[error("body arrives too slowly")]
     Slow,
-    #[error("it is too large")]
+    #[error("body is too large")]
     TooLarge,
-    #[error("it was cut off or is malformed")]
+    #[error("body is truncated or malformed")]
     Cut,
 }
 
-/// Memory that kept bodies may use, for the whole process. When it is used up, more is passed on and less is
-/// kept: that costs second attempts, not the process.
+/// The memory limit for buffered bodies of the whole process. When it is reached, bodies are streamed instead of
+/// buffered: that costs second attempts, but the process does not run out of memory.
 pub struct BodyMemory {
     most: usize,
     used: Cell<usize>,
 }
 
-/// A part of it, given back when dropped.
+/// A reserved part of the body memory, released when dropped.
 pub struct MemoryReservation {
     memory: Rc<BodyMemory>,
     bytes: usize,
@@ -73,8 +73,8 @@
     }
 }
 
-/// How long a client may still keep us waiting for its body. Only time spent waiting for it counts: a body
-/// that is not read yet, since no upstream takes it, is not late.
+/// Enforces the minimum rate of a request body. Only time spent waiting for the client counts: a body that is not
+/// read because no upstream takes it is not late.
 struct Pace {
     left: Duration,
     since: Option<Instant>,
@@ -100,19 +100,19 @@
     }
 }
 
-/// The body of a request, as its client sends it.
+/// The body of a request as received from its client.
 pub struct RequestBody {
     body: RefCell<Incoming>,
     pace: RefCell<Pace>,
     read: Cell<u64>,
     ended: Cell<Option<Result<(), BodyError>>>,
     changed: Notify,
-    /// Some of it went to an upstream and is not kept: it can't be sent a second time.
+    /// Part of it was passed to an upstream without being buffered, so that it cannot be sent again.
     consumed: Cell<bool>,
 }
 
 impl RequestBody {
-    /// Its client may keep us waiting for so long before it sends any of it.
+    /// The client has `patience` to send the first bytes.
     pub fn new(body: Incoming, patience: Duration) -> Rc<Self> {
         let timer = Box::pin(sleep(patience));
         Rc::new(Self {
@@ -130,7 +130,7 @@
         self.changed.notify_waiters();
     }
 
-    /// The next piece; `None` at its end.
+    /// The next chunk; `None` at the end of the body.
     fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         if let Some(how) = self.ended.get() {
             return Poll::Ready(how.err().map(Err));
@@ -140,7 +140,7 @@
             match Pin::new(&mut *body).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => match frame.into_data() {
                     Ok(data) => break Ok(data),
-                    // Trailers concern nobody here.
+                    // Trailers are ignored.
                     Err(_) => continue,
                 },
                 Poll::Ready(Some(Err(_))) => break Err(BodyError::Cut),
@@ -167,7 +167,7 @@
         Poll::Ready(Some(next))
     }
 
-    /// Reads it to its end, or until more than `most` was read.
+    /// Buffers the body to its end, or until more than `most` bytes were read.
     pub async fn buffer(&self, most: usize, declared: Option<u64>) -> Result<Bytes, BodyError> {
         let room = declared.map_or(0, |n| usize::try_from(n).unwrap_or(most).min(most));
         let mut kept = BytesMut::with_capacity(room);
@@ -192,12 +192,12 @@
         self.consumed.get()
     }
 
-    /// Whether its client keeps us waiting.
+    /// Whether the reader is waiting for the client to send more.
     pub fn is_waiting_for_client(&self) -> bool {
         self.pace.borrow().since.is_some()
     }
 
-    /// Waits for its end, whatever that is; others read it meanwhile.
+    /// Waits until the body has ended or failed, without reading it; another task reads it.
     pub async fn ended(&self) -> Result<(), BodyError> {
         loop {
             let changed = self.changed.notified();
@@ -208,29 +208,29 @@
         }
     }
 
-    /// Reads and forgets what still comes, for a while.
+    /// Reads and discards the rest of the body, for at most [`DRAIN_TIMEOUT`].
     pub async fn drain(&self) {
         let rest = async { while let Some(Ok(_)) = poll_fn(|cx| self.poll(cx)).await {} };
         let _ = timeout(DRAIN_TIMEOUT, rest).await;
     }
 }
 
-/// What an attempt has to hand over for its request to be whole; the least that it can be.
+/// How many bytes an attempt must send for its request to be complete; a lower bound while the body is streamed.
 #[derive(Clone, Default)]
 pub struct BodyProgress {
     pub bytes: Rc<Cell<u64>>,
-    /// Whether that is all, or more of the body may come.
+    /// Whether `bytes` is final; otherwise more of the body may follow.
     pub all: Rc<Cell<bool>>,
 }
 
-/// The body of one attempt at an upstream.
+/// The request body of one attempt.
 pub struct UpstreamRequestBody {
     kept: Bytes,
     rest: Option<Rc<RequestBody>>,
-    /// Where the whole body's size is known from the start, what is left of it.
+    /// The number of bytes left to send, if the complete body's size is known.
     left: Option<u64>,
     due: BodyProgress,
-    /// Told once the last byte was given.
+    /// Called once the last byte of a streamed body was handed to hyper.
     on_complete: Box<dyn Fn()>,
 }
 
@@ -280,7 +280,7 @@
             Some(Err(why)) => Poll::Ready(Some(Err(why))),
             Some(Ok(data)) => {
                 self.due.bytes.set(self.due.bytes.get() + data.len() as u64);
-                // With a known size nobody asks for the end that follows.
+                // With a known size hyper does not poll again for the end of the body.
                 if rest.is_complete() {
                     self.mark_complete();
                 }
@@ -298,33 +298,33 @@
     }
 }
 
-/// The body of a request, the same for each of its attempts.
+/// The body of a request, shared by its attempts.
 #[derive(Default)]
 pub struct Payload {
-    /// All of it, or its first part.
+    /// The buffered part: the complete body, or its beginning.
     pub kept: Bytes,
-    /// Where more follows.
+    /// The part that is streamed, if any.
     pub rest: Option<Rc<RequestBody>>,
-    /// Its whole size, if the client said so.
+    /// The size of the complete body, if known.
     pub length: Option<u64>,
     pub _hold: Option<MemoryReservation>,
 }
 
 impl Payload {
-    /// Whether it can't be sent another time.
+    /// Whether part of it was streamed, so that another attempt cannot send it.
     pub fn is_consumed(&self) -> bool {
         self.rest.as_ref().is_some_and(|r| r.is_consumed())
     }
 }
 
-/// An answer from an upstream: whole, or its first part and where the rest comes from.
+/// The body of an upstream's response: complete, or its buffered beginning and the stream of the rest.
 pub struct UpstreamResponse {
     pub kept: Bytes,
     pub rest: Option<StreamedResponse>,
     pub hold: Option<MemoryReservation>,
 }
 
-/// The body of an answer to a client, and with it the request's place in the figures and on its connection.
+/// The body of a response to a client. Holds the request's metrics guard and the connection's in-flight guard.
 #[derive(Default)]
 pub struct ResponseBody {
     kept: Bytes,
@@ -334,7 +334,7 @@
     _guard: Option<CompletionGuard>,
 }
 
-/// Dropped when an answer is done with.
+/// Dropped when a response body was sent or abandoned.
 pub type CompletionGuard = Rc<dyn std::any::Any>;
 
 impl ResponseBody {
@@ -346,8 +346,7 @@
         Self { kept: served.kept, rest: served.rest, _hold: served.hold, ..Self::default() }
     }
 
-    /// The request counts as ended once this body is done with: as `end`, or, where the rest is still to come,
-    /// by what becomes of it.
+    /// Counts the request in the metrics: as `end`, or, if the body is streamed, by whether the stream completes.
     pub fn counted_as(mut self, taken: Taken, end: End) -> Self {
         if self.rest.is_none() {
             taken.ends(end);
@@ -356,7 +355,7 @@
         self
     }
 
-    /// Keeps this until the body is done with.
+    /// Holds `done` until the body is dropped.
     pub fn with_guard(mut self, done: CompletionGuard) -> Self {
         self._guard = Some(done);
         self
--- a/src/bin/hollowpaddle/client_connection.rs
+++ b/src/bin/hollowpaddle/client_connection.rs
@@ -1,4 +1,4 @@
-//! How far a client's connection has come, and when its peer has kept it waiting for too long.
+//! The state and the timeouts of a client connection.
 
 use std::cell::Cell;
 use std::future::{Future, poll_fn};
@@ -15,76 +15,75 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// How long a connection may idle between two requests while there is room for others; and while the table of
-/// clients fills up.
-/// Failure: peers that sent nothing, or never all of it, kept their connections until the table of clients was
-/// full, and proper clients waited in the backlog until their time was up.
+/// How long a connection may be idle between two requests: with ample room in the connection table, and with little.
+/// Without these limits, peers that sent nothing or only part of a request filled the table, and other clients waited
+/// in the backlog past their deadlines.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 const IDLE_TIMEOUT_CROWDED: Duration = Duration::from_millis(2200);
-/// How long a client that has connected may send nothing while others find the table full.
-/// Failure: a table_full of silent connections kept proper clients in the backlog until after their deadline.
+/// How long a new connection may send nothing while the table is full. Without this limit, many silent connections
+/// kept other clients in the backlog past their deadlines.
 const SILENT_TIMEOUT_FULL: Duration = Duration::from_millis(200);
-/// How long a head may take, from connecting or from its first byte on. Slow clients are owed 2 s; peers that
-/// never send a whole request are owed an end within 3 s.
+/// Time for a complete request head, from the connection or the head's first byte. Slow clients must be given 2 s;
+/// connections of peers that never complete a request must be closed within 3 s.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2400);
-/// By when a client that stalls at the start of its body is given up, counted as for the head; and the least and
-/// the most time it has for that.
+/// Time by which the body must have started, counted as for the head; and the minimum and maximum wait for it after
+/// the head.
 const BODY_START_LIMIT: Duration = Duration::from_millis(2800);
 const BODY_START_TIMEOUT_RANGE: [Duration; 2] = [Duration::from_millis(1000), Duration::from_millis(2000)];
-/// A client that reads nothing of its answer for so long is gone.
+/// A client that reads nothing of its response for this long is treated as gone.
 const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often a connection that has a request is looked at.
+/// Longest interval between two checks of a connection's timeouts.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// The same while nobody reads on it, for its peer's close: nothing may be sent on for a client 0.1 s after it
-/// has gone.
+/// Interval of checks for the peer's close while hyper does not read: no attempt may be sent for a client more than
+/// 0.1 s after it has closed.
 const PEER_CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(30);
-/// A moment in which the runtime hears of what has come, and how many of them a connection is given: a peer that sends
-/// a byte at a time can't hold on.
+/// Delay for the runtime to read bytes that are already in the socket before a connection is closed by a timeout, and
+/// the maximum number of such delays, so that a peer that sends one byte at a time cannot hold the connection.
 const RECHECK_DELAY: Duration = Duration::from_millis(1);
 const MAX_RECHECKS: u32 = 20;
-/// How long a connection is read on after our end of it is closed, and while others want its place.
+/// How long a connection is read after its write side was shut down: with ample room in the table, and with little.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 const LINGER_TIMEOUT_CROWDED: Duration = Duration::from_millis(50);
 
 #[derive(Clone, Copy, Debug)]
 enum State {
-    /// It has connected then, and sent nothing yet.
+    /// Connected at this time; nothing was received yet.
     Silent(Instant),
-    /// Nothing, since then.
+    /// No request since this time.
     Idle(Instant),
-    /// It sends the head of a request, since then.
+    /// Receiving a request head since this time.
     Asking(Instant),
-    /// A request is being served.
+    /// A request is in flight.
     Served,
 }
 
-/// How much room the table of clients has.
+/// How much room the connection table has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Room {
-    /// For as many again.
+    /// At most half of it is used.
     Plenty,
-    /// For some.
+    /// More than half of it is used.
     Scarce,
-    /// For none: others wait to be accepted.
+    /// No place is free; new connections wait in the backlog.
     Full,
 }
 
-/// One connection with a client.
+/// The state of one client connection.
 pub struct ClientConnection {
     state: Cell<State>,
-    /// Since when its peer has taken none of what is to be written.
+    /// Since when pending output could not be written because the peer does not read.
     write_stalled_since: Cell<Option<Instant>>,
-    /// Whether a request was served on it.
+    /// Whether a request was received on it.
     has_served: Cell<bool>,
-    /// Whether it is read on, and its peer's close would be seen there. hyper stops reading once it holds bytes
-    /// that are not of the request it serves, or of a body that nobody takes.
+    /// Whether hyper waits for data, so that it would see the peer's close. hyper stops reading once it has buffered
+    /// bytes beyond the current request, or of a body that is not consumed.
     reading: Cell<bool>,
-    /// Since when its first request may have waited to be accepted.
+    /// Since when the connection may have waited in the backlog; applies to its first request.
     backlog_since: Cell<Option<Instant>>,
 }
 
 impl ClientConnection {
-    /// A peer that has just been accepted, after a wait since then.
+    /// A newly accepted connection that may have waited in the backlog since `waited`.
     pub fn new(backlog_since: Option<Instant>) -> Self {
         Self {
             backlog_since: Cell::new(backlog_since),
@@ -95,26 +94,26 @@
         }
     }
 
-    /// A request is served from now on, until what this returns is dropped.
+    /// Marks a request as in flight until the returned guard is dropped.
     pub fn begin_request(self: &Rc<Self>) -> RequestGuard {
         self.has_served.set(true);
         let began = match self.state.replace(State::Served) {
             State::Silent(since) | State::Asking(since) => since,
-            // It was read together with the one before.
+            // Pipelined: its head was read together with the request before.
             State::Idle(_) | State::Served => Instant::now(),
         };
         RequestGuard { connection: self.clone(), began, backlog_since: self.backlog_since.take() }
     }
 
-    /// Waits until its peer has had all the time it gets. `room` tells whether others want its place, and `table_full`
-    /// when they all of a sudden do.
+    /// Waits until the connection times out. `room` gives the room in the connection table; `table_full` is notified
+    /// when it runs out, and the timeout is then evaluated again.
     pub async fn timed_out(&self, socket: &Socket, room: impl Fn() -> Room, table_full: &Notify) {
         let mut rechecks = 0;
         loop {
             let now = Instant::now();
             let at = self.expires_at(room()).unwrap_or(now + CHECK_INTERVAL);
             if at <= now {
-                // What has come by now is read first; that tells whether there is more time.
+                // Bytes that have already arrived are read first, since they may extend the timeout.
                 let unread = CloseFacts {
                     client_closed: socket.peer_closed(),
                     unanswered: false,
@@ -126,7 +125,7 @@
                     continue;
                 }
                 if !matches!(self.state.get(), State::Idle(_)) || self.write_stalled_since.get().is_some() {
-                    tracing::info!(state = ?self.state.get(), "a client had all its time");
+                    tracing::info!(state = ?self.state.get(), "client connection timed out");
                 }
                 return;
             }
@@ -138,13 +137,15 @@
         }
     }
 
-    /// Whether it was answered so lately that its peer may not have all of that yet. A request that crosses with the
-    /// close of one that idled is better reset: that tells its client that nobody read it.
+    /// Whether the last response is so recent that the peer may not have received all of it. On a connection that was
+    /// idle for longer, a request that crosses with the close is better reset: the reset tells the client that it was
+    /// not read.
     pub fn answered_lately(&self) -> bool {
         !matches!(self.state.get(), State::Idle(since) if since.elapsed() >= LINGER_TIMEOUT / 2)
     }
 
-    /// What is owed on it beside a request that is served: part of a further one may have come, read or not.
+    /// The facts that decide whether the connection may be closed, apart from a request in flight: part of another
+    /// request may have arrived, read or unread.
     pub fn close_facts(&self, socket: &Socket) -> CloseFacts {
         let has_served = self.has_served.get();
         CloseFacts {
@@ -154,8 +155,8 @@
         }
     }
 
-    /// Waits until the peer has closed its end while a request of it is served and nobody reads. Has to be polled
-    /// by the task that serves the connection, after it.
+    /// Waits until the peer has closed its end while a request is in flight and hyper does not read. Must be polled by
+    /// the task that serves the connection, after the connection itself.
     pub async fn abandoned(&self, socket: &Socket) {
         let mut check = pin!(sleep(PEER_CLOSE_CHECK_INTERVAL));
         let mut closed = false;
@@ -167,7 +168,8 @@
                 }
                 ready!(check.as_mut().poll(cx));
                 check.as_mut().reset(Instant::now() + PEER_CLOSE_CHECK_INTERVAL);
-                // Seen twice: an end that was read, as of a body cut short, is answered by then.
+                // Requires two checks in a row: if hyper has read the end, as of a truncated body, it has answered by
+                // the second.
                 if std::mem::replace(&mut closed, socket.peer_closed()) && closed {
                     return Poll::Ready(());
                 }
@@ -176,9 +178,9 @@
         .await;
     }
 
-    /// When its peer has had all its time, as things stand. What is still to be written comes first: a request
-    /// is done with here before a slow client has read the last of its answer.
-    /// Failure: the ends of long answers, handed over but not yet taken, were cut off as idle.
+    /// When the connection times out in its current state. Pending output takes precedence: a request is finished here
+    /// before a slow client has read the end of its response. Without that, the ends of long responses that were still
+    /// in the write buffer were cut off as idle.
     fn expires_at(&self, room: Room) -> Option<Instant> {
         match (self.write_stalled_since.get(), self.state.get()) {
             (Some(since), _) => Some(since + RESPONSE_STALL_TIMEOUT),
@@ -193,7 +195,7 @@
         }
     }
 
-    /// Something was written, or could not be.
+    /// Records the result of a write; `stalled` if nothing could be written.
     fn record_write(&self, stalled: bool) {
         let now = Instant::now();
         self.write_stalled_since.set(stalled.then(|| self.write_stalled_since.get().unwrap_or(now)));
@@ -203,7 +205,7 @@
     }
 }
 
-/// A request's time on a connection.
+/// Marks a request as in flight on its connection until dropped.
 pub struct RequestGuard {
     connection: Rc<ClientConnection>,
     began: Instant,
@@ -211,12 +213,12 @@
 }
 
 impl RequestGuard {
-    /// When the request may have come at the earliest, where it was read at a moment as late as this.
+    /// The earliest time at which the request may have arrived, given when it was read.
     pub fn arrived(&self, read: Instant) -> Instant {
         self.backlog_since.map_or(read, |since| since.min(read))
     }
 
-    /// How long the client may keep us waiting for the start of its body.
+    /// How long the client may take to start sending its body.
     pub fn body_start_timeout(&self) -> Duration {
         let [min, max] = BODY_START_TIMEOUT_RANGE;
         BODY_START_LIMIT.saturating_sub(self.began.elapsed()).clamp(min, max)
@@ -229,15 +231,14 @@
     }
 }
 
-/// Whether bytes of the peer wait to be read.
-/// Failure: a request that came in the very moment in which its connection had idled for too long, or in which the
-/// process stood still, was closed upon.
+/// Whether received bytes are unread. Without this check, a connection was closed on a request that arrived just as its
+/// idle timeout expired or during a process stall.
 fn has_unread_bytes(socket: &Socket) -> bool {
     socket.unread() == Unread::Bytes
 }
 
-/// Closes our end and reads on for a moment (RFC 9112, 9.6): closed over bytes that nobody read, a connection is
-/// reset, and the reset takes with it what its peer has not read of the last answer.
+/// Shuts down the write side and reads for a short time before the close (RFC 9112, 9.6). Closing a connection with
+/// unread bytes resets it, and the peer loses what it has not yet read of the last response.
 pub async fn lingering_close(mut socket: Socket, is_crowded: bool) {
     let read_on = async {
         let _ = socket.shutdown().await;
@@ -247,7 +248,7 @@
     let _ = timeout(if is_crowded { LINGER_TIMEOUT_CROWDED } else { LINGER_TIMEOUT }, read_on).await;
 }
 
-/// A stream that tells what its peer does.
+/// A stream that records reads and writes in the connection's state.
 pub struct ObservedStream {
     pub inner: TokioIo<Socket>,
     pub connection: Rc<ClientConnection>,
--- a/src/bin/hollowpaddle/client_connection/tests.rs
+++ b/src/bin/hollowpaddle/client_connection/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_client_that_still_reads_its_answer_is_not_idle() {
+fn a_client_that_still_reads_its_response_is_not_idle() {
     let connection = Rc::new(ClientConnection::new(None));
     drop(connection.begin_request());
     let idle = connection.expires_at(Room::Scarce).expect("it idles");
@@ -19,12 +19,12 @@
 }
 
 #[test]
-fn a_silent_connection_keeps_nobody_waiting_for_a_full_table() {
+fn silent_connections_time_out_early_when_the_table_is_full() {
     let connection = ClientConnection::new(None);
     let by = |room| connection.expires_at(room).expect("it has a limit");
     assert_eq!(by(Room::Scarce), by(Room::Plenty), "there is room");
     assert!(by(Room::Full) <= Instant::now() + SILENT_TIMEOUT_FULL);
-    // Slow clients are owed their time also then.
+    // Slow clients keep their full timeout.
     connection.state.set(State::Asking(Instant::now()));
     assert_eq!(by(Room::Full), by(Room::Plenty));
 }
--- a/src/bin/hollowpaddle/clients.rs
+++ b/src/bin/hollowpaddle/clients.rs
@@ -1,4 +1,4 @@
-//! The side that faces clients: an HTTP server that reads requests, asks the engine, and answers once.
+//! The client-facing HTTP server: reads requests, passes them to the engine, and sends one response to each.
 
 use std::cell::{Cell, OnceCell};
 use std::convert::Infallible;
@@ -38,47 +38,49 @@
 use hollowpaddle::figures::{End, Figures};
 use hollowpaddle::socket::{Peer, Socket, Unread, after_failed_accept};
 
-/// The longest head of a request; a longer one is answered 431. hyper's own limit, some 400 KiB, times a full
-/// table of clients is more than the memory that a balancer has.
+/// Maximum size of a request head; a longer one is answered 431. hyper's default of about 400 KiB, times the
+/// maximum number of connections, exceeds the memory of a balancer.
 const MAX_HEAD_BYTES: usize = 32 << 10;
-/// After the last accept, the longest wait for what was taken. Each request has its deadline and each body has
-/// to come on; the platform ends what takes longer than it allows.
+/// How long open connections may take to finish after the listener is closed. Requests are bounded by their
+/// deadlines and bodies by their minimum rate; the platform kills the process if it takes longer than allowed.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(60);
-/// SIGKILL may come so long after SIGTERM, and the longest deadline later, which is taken for this long at most
-/// (PROTOCOL, "Figures").
+/// SIGKILL may follow SIGTERM after this delay plus the longest deadline of any class, of which at most
+/// [`MAX_DEADLINE_AT_SHUTDOWN`] is counted (PROTOCOL, "Figures").
 const KILL_DELAY: Duration = Duration::from_millis(700);
 const MAX_DEADLINE_AT_SHUTDOWN: Duration = Duration::from_secs(3);
-/// The last answers go out so long before: a process may be held for 0.15 s (STANDING).
+/// The last responses are sent this long before SIGKILL, since a process may be stalled for 0.15 s (STANDING).
 const KILL_MARGIN: Duration = Duration::from_millis(200);
-/// How often a full table is looked at for room.
+/// Interval of checks for a free place while the connection table is full, and of retries of a failed accept.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(1);
-/// No client waits longer than this; a figure beyond it is a mistake.
+/// Largest accepted `X-Deadline-Ms`; a longer deadline is treated as malformed.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
 
 type ClientResponse = Response<ResponseBody>;
 
-/// How a connection with a client came to its end.
+/// Why a client connection ended.
 #[derive(Debug)]
 enum ConnectionEnd {
-    /// Either side was done with it.
+    /// Closed by either side after a recent response.
     Served,
-    /// The same, some time after its last answer.
+    /// Closed by either side after being idle for some time.
     Idle,
-    /// Its peer had all its time.
+    /// The client exceeded a timeout.
     Lost,
-    /// Its peer closed it while a request was served.
+    /// The client closed the connection while its request was in flight.
     Left,
 }
 
+/// Accepts client connections and serves their requests.
 pub struct ClientServer {
     engine: Handle,
     memory: Rc<BodyMemory>,
     figures: Rc<Figures>,
     max_connections: usize,
     open_connections: Cell<usize>,
-    /// Told when the table is full: those that idle are looked at at once.
+    /// Notified when the connection table is full or the backlog fills, so that idle connections recheck their
+    /// timeouts at once.
     table_full: Notify,
-    /// Since when connections have waited to be accepted, while some do.
+    /// Since when connections may have been waiting in the backlog; `None` once it was found empty.
     backlog_since: Cell<Option<Instant>>,
     lifecycle: Rc<Lifecycle>,
 }
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Serves until `stop`, then finishes what was taken.
+    /// Serves until `stop` completes, then finishes the accepted connections.
     pub async fn serve(
         self: Rc<Self>,
         listener: TcpListener,
@@ -115,8 +117,8 @@
             () = stop => {}
         }
         self.engine.ending(self.engine.arrived() + self.shutdown_time());
-        // New connections still find us for a moment; where a newer process listens too, they are led to that one.
-        // From here each answer asks its client to go elsewhere.
+        // New connections may still arrive for a short time; if another process serves the address, they are
+        // redirected to it. From here on each response carries `Connection: close`.
         let mut handover = registration.begin_handover();
         let has_successor = handover.has_successor();
         self.lifecycle.stop(has_successor);
@@ -139,7 +141,7 @@
         let _ = timeout(DRAIN_TIMEOUT, finished).await;
     }
 
-    /// How long after SIGTERM the last answer has to be out.
+    /// Time after SIGTERM by which the last response must be sent.
     fn shutdown_time(&self) -> Duration {
         let routing = self.engine.routing();
         let classes = routing.catalog.services.iter().flat_map(|s| &s.facts.classes);
@@ -148,8 +150,8 @@
         longest.min(MAX_DEADLINE_AT_SHUTDOWN) + KILL_DELAY - KILL_MARGIN
     }
 
-    /// Accepts what waits, and closes the listener with an empty queue: what a close finds there is reset. Those that
-    /// find the table full wait a moment longer, for from here on each connection ends with its answer.
+    /// Accepts all connections in the backlog before closing the listener, since closing it resets queued connections.
+    /// While the table is full they wait; places become free, as each connection now closes after its response.
     async fn accept_backlog(self: &Rc<Self>, listener: TcpListener) {
         let Ok(listener) = listener.into_std() else { return };
         let until = Instant::now() + LINGER;
@@ -159,12 +161,12 @@
                 sleep(ACCEPT_RETRY_INTERVAL).await;
                 continue;
             }
-            // Asked directly: what the runtime has seen of it may be a moment old.
+            // Calls accept directly, because the runtime's readiness state may be stale.
             match listener.accept() {
                 Ok((stream, _)) => {
                     match stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
                         Ok(stream) => self.spawn_connection(stream),
-                        Err(cause) => tracing::warn!(%cause, "a connection is closed unread"),
+                        Err(cause) => tracing::warn!(%cause, "could not register an accepted connection; closing it"),
                     }
                 }
                 Err(cause) if cause.kind() == ErrorKind::WouldBlock => return,
@@ -180,7 +182,7 @@
 
     async fn accept(self: &Rc<Self>, listener: &TcpListener) {
         loop {
-            // Left in the backlog, a client waits a moment; without a descriptor it would be dropped.
+            // A client in the backlog waits until a place is free; accepting it without a spare descriptor would fail.
             if self.open_connections.get() >= self.max_connections {
                 self.mark_backlog_waiting();
                 self.table_full.notify_waiters();
@@ -190,17 +192,17 @@
             }
             match self.accept_next(listener).await {
                 Ok((stream, _)) => self.spawn_connection(stream),
-                // Guards against EMFILE and aborted connections: neither is a reason to end.
+                // EMFILE and aborted connections are transient and must not end the server.
                 Err(cause) => {
                     self.mark_backlog_waiting();
-                    tracing::warn!(%cause, "accept");
+                    tracing::warn!(%cause, "accept failed");
                     after_failed_accept(&cause).await;
                 }
             }
         }
     }
 
-    /// Connections may wait to be accepted from now on; those that idle are looked at.
+    /// Records that connections may be waiting in the backlog, and makes idle connections recheck their timeouts.
     fn mark_backlog_waiting(&self) {
         if self.backlog_since.get().is_none() {
             self.backlog_since.set(Some(Instant::now()));
@@ -208,9 +210,9 @@
         }
     }
 
-    /// The next connection; once there is none, nobody waits any more.
+    /// Accepts the next connection; clears `backlog_since` when the backlog is empty.
     async fn accept_next(&self, listener: &TcpListener) -> std::io::Result<(TcpStream, SocketAddr)> {
-        // The runtime's budget for this task would pass for an empty backlog.
+        // With tokio's cooperative budget exhausted, accept would return pending as if the backlog were empty.
         let mut accept = pin!(unconstrained(listener.accept()));
         tokio::select! {
             biased;
@@ -220,13 +222,13 @@
         accept.await
     }
 
-    /// All requests of one connection.
+    /// Serves all requests of one connection.
     async fn serve_connection(self: Rc<Self>, stream: TcpStream, backlog_since: Option<Instant>) {
         let _ = stream.set_nodelay(true);
         let socket = Socket::new(stream);
         let waited = backlog_since.filter(|_| socket.unread() == Unread::Bytes);
         let over = self.run_connection(&socket, waited).await;
-        tracing::debug!(reason = ?over, "a client's connection ends");
+        tracing::debug!(reason = ?over, "client connection ended");
         if matches!(over, ConnectionEnd::Served) {
             lingering_close(socket, self.is_crowded()).await;
         }
@@ -247,7 +249,7 @@
         tokio::pin!(timed_out, abandoned, time_to_close);
         let mut closing = false;
         loop {
-            // First what has come: a request that crosses with the end of its time is taken.
+            // Received data is processed first, so that a request that arrives as a timeout fires is served.
             tokio::select! {
                 biased;
                 _ = &mut connection => {
@@ -257,7 +259,8 @@
                 () = &mut abandoned => return ConnectionEnd::Left,
                 () = &mut time_to_close, if !closing => {
                     if permit::close(&client.close_facts(socket)).is_err() {
-                        // Its answer tells the client to go; closed now, hyper would forget what has come of it.
+                        // A request is unread or unanswered: its response will carry `Connection: close`. On a
+                        // shutdown now, hyper would discard the part of the request that was received.
                         time_to_close.set(self.lifecycle.time_to_close());
                     } else {
                         connection.as_mut().graceful_shutdown();
@@ -306,14 +309,14 @@
             no_route_response(host(&request), path)
         };
         unanswered.answered();
-        // Close to the limit, connections are given back so that waiting clients get their guard.
+        // Near the limit, connections are closed after their response to make room for clients in the backlog.
         if !self.lifecycle.serving() || self.open_connections.get() + self.max_connections / 8 >= self.max_connections {
             answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         Ok(answer.map(|body| body.with_guard(guard)))
     }
 
-    /// One request of a service.
+    /// Serves one request of a service.
     async fn serve_one(
         &self,
         request: Request<Incoming>,
@@ -337,10 +340,10 @@
         };
         if let Err(denial) = permit::start(client.has_closed()) {
             let request = id.as_ref().and_then(|id| id.to_str().ok());
-            tracing::debug!(request, %denial, "a request is not taken");
+            tracing::debug!(request, %denial, "request rejected: client has already closed");
             return empty_response(StatusCode::BAD_REQUEST);
         }
-        // The request's time runs from its last byte; while more is to come, that is still ahead.
+        // The deadline runs from the request's last byte, which is still to come if the body is incomplete.
         let arrival =
             match arrival(service_id, service, &head, &kept, guard.arrived(self.engine.arrived())) {
                 Ok(arrival) => arrival,
@@ -400,7 +403,7 @@
     }
 }
 
-/// Reads what the module needs to know of a request of this service; the error names what is wrong.
+/// Extracts what the policy needs to know of a request; the error names the invalid header or `method`.
 fn arrival(
     service_id: ServiceId,
     service: &Service,
@@ -436,7 +439,7 @@
     })
 }
 
-/// The host that a request is for: its target's, or else its `Host` (RFC 9112, 3.2.2); empty where it names none.
+/// The requested host: from the request target, else from `Host` (RFC 9112, 3.2.2); empty if neither names one.
 fn host(request: &Request<Incoming>) -> &str {
     let target = request.uri().authority().map(|a| a.as_str());
     let named = || request.headers().get(HOST).and_then(|host| host.to_str().ok());
@@ -450,8 +453,8 @@
     answer
 }
 
-/// A request that was read and has no answer yet. Where its connection ends first, it is named by the id that its
-/// client gave it, and counts as a broken rule unless the client has closed.
+/// A request that was read and is unanswered. If its connection ends first, the request is logged by its
+/// `X-Request-Id` and counted as a rule violation, unless the client has closed the connection.
 struct UnansweredRequest {
     request: Option<HeaderValue>,
     client: Peer,
@@ -474,7 +477,7 @@
         if self.answered {
             return;
         }
-        tracing::info!(request = self.id(), "its connection ended before its answer");
+        tracing::info!(request = self.id(), "connection ended before the response to this request was sent");
         let closing =
             CloseFacts { client_closed: self.client.has_closed(), unanswered: true, unread: false };
         if permit::close(&closing).is_err() {
@@ -483,9 +486,9 @@
     }
 }
 
-/// Reads what is still to come of a body whose request is answered: its client may look for the answer only
-/// then, and would be reset before.
-/// Failure: refused while they still sent, slow clients were cut off, and never saw that they were.
+/// Reads the rest of the body of a request that is already answered. A client may read the response only after it
+/// has sent its whole body; without this, slow clients that were refused while sending were reset and never saw the
+/// response.
 fn drain(body: Rc<RequestBody>, guard: &Rc<RequestGuard>) {
     if body.is_coming() {
         let guard = guard.clone();
@@ -502,7 +505,7 @@
     answer
 }
 
-/// What a body that has no end gets.
+/// The response to a request whose body could not be read to its end.
 fn body_error_response(why: BodyError, id: &Option<HeaderValue>) -> ClientResponse {
     let request = id.as_ref().and_then(|id| id.to_str().ok());
     tracing::info!(request, %why, "the body of a request");
@@ -519,7 +522,7 @@
     answer
 }
 
-/// `Retry-After` in decimal seconds; none for no advice.
+/// `Retry-After` in decimal seconds; `None` if the span is not positive.
 fn retry_after_value(span: Span) -> Option<HeaderValue> {
     if span.0 <= 0 {
         return None;
@@ -533,26 +536,26 @@
     pairs.find(|(n, _)| *n == name).map(|(_, value)| value)
 }
 
-/// The target as an origin server is asked for it: clients may name the host in it too.
+/// Converts an absolute-form target, which clients may send, to origin form (RFC 9112, 3.2).
 fn origin_form(uri: Uri) -> Uri {
     uri.path_and_query().map_or(Uri::default(), |asked| Uri::from(asked.clone()))
 }
 
-/// The headers that go on to an upstream.
+/// The headers of the request to an upstream.
 fn upstream_headers(mut headers: HeaderMap, length: Option<u64>) -> HeaderMap {
     remove_hop_by_hop_headers(&mut headers);
     headers.remove(EXPECT);
     headers.remove(CONTENT_LENGTH);
-    // Of an unknown length, it goes on in chunks.
+    // A body of unknown length is sent chunked.
     if let Some(length) = length.filter(|n| *n > 0) {
         headers.insert(CONTENT_LENGTH, HeaderValue::from(length));
     }
-    // Without one the upstream could not read it as HTTP/1.1.
+    // HTTP/1.1 requires `Host`; without it the upstream would reject the request.
     headers.entry(HOST).or_insert(HeaderValue::from_static("api.internal"));
     headers
 }
 
-/// Takes out what concerns one connection only (RFC 9110, 7.6.1).
+/// Removes the headers that concern a single connection only (RFC 9110, 7.6.1).
 fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
--- a/src/bin/hollowpaddle/config.rs
+++ b/src/bin/hollowpaddle/config.rs
@@ -1,4 +1,4 @@
-//! What the platform tells a balancer: four environment variables and a JSON file.
+//! The proxy's configuration: environment variables set by the platform, and a JSON file.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,10 +12,10 @@
 
 use crate::management;
 
-/// Descriptors that are neither a client's nor an upstream's: standard streams, the event queue, the
-/// listeners, the watch, signals; and the calls of operators.
+/// Descriptors for other purposes than client and upstream connections: standard streams, the event queue, the
+/// listeners, the watch, signals, and management connections.
 const RESERVED_DESCRIPTORS: usize = 24 + management::SHARE;
-/// Where the platform states no limit.
+/// Limits that apply if the file sets none.
 const DEFAULT_SOCKETS: usize = 1024;
 const DEFAULT_MEMORY_MB: f64 = 192.0;
 
@@ -31,11 +31,11 @@
     BadAddress { name: &'static str, value: String },
     #[error("{path}: {cause}")]
     Services { path: String, cause: CatalogError },
-    #[error("the limit of {0} sockets leaves no room to serve")]
+    #[error("limits.sockets is {0}: too few to serve clients")]
     TooFewSockets(usize),
 }
 
-/// The file; what it holds beyond this is for others.
+/// The configuration file; unknown keys are ignored.
 #[derive(Deserialize)]
 struct File {
     #[serde(default)]
@@ -55,12 +55,12 @@
     #[serde(default)]
     known: List,
     settings: Facts,
-    /// Where there are some, requests go to them by `routes`, and the list's members belong to them.
+    /// If set, requests are routed to them by `routes`, and each member of the list belongs to one of them.
     #[serde(default)]
     services: Option<Vec<ServiceEntry>>,
     #[serde(default)]
     routes: Vec<Route>,
-    /// Where it was read from.
+    /// Path of the file, for error messages.
     #[serde(skip)]
     path: String,
 }
@@ -94,7 +94,7 @@
             None if self.routes.is_empty() => Catalog::single(&self.settings),
             None => Err(CatalogError::Invalid {
                 key: "routes".into(),
-                cause: "lead nowhere without services".into(),
+                cause: "routes need services".into(),
             }),
         };
         catalog
@@ -107,7 +107,7 @@
     value.parse().map_err(|_| ConfigError::BadAddress { name, value })
 }
 
-/// Discovery is one address, or several with commas between them: instances of one list service.
+/// Parses the addresses of discovery: one or more instances of the list service, separated by commas.
 fn addresses(name: &'static str, value: String) -> Result<Vec<SocketAddr>, ConfigError> {
     value.split(',').map(|one| address(name, one.trim().to_owned())).collect()
 }
@@ -115,30 +115,30 @@
 pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
-    /// Where the list is to be had; at least one.
+    /// Addresses of the list service's instances; at least one.
     pub discovery: Vec<SocketAddr>,
-    /// Where operators call, if anywhere.
+    /// Address of the management API, if enabled.
     pub management: Option<SocketAddr>,
-    /// Where the last list is kept, if anywhere.
+    /// Directory in which the last list is stored, if any.
     pub state_dir: Option<PathBuf>,
     pub seed: u64,
     pub sockets: usize,
-    /// Bytes that the process may use.
+    /// Memory limit of the process in bytes.
     pub memory: usize,
     pub known: List,
     pub facts: Facts,
-    /// The services that there are at the start.
+    /// The services at the start.
     pub catalog: Rc<Catalog>,
 }
 
-/// What SIGHUP takes from the file.
+/// The part of the configuration that is reloaded on SIGHUP.
 pub struct ReloadedConfig {
     pub discovery: Vec<SocketAddr>,
-    /// Only the services of a file that names some are read anew.
+    /// `None` if the file defines no services, which then stay unchanged.
     pub catalog: Option<Rc<Catalog>>,
 }
 
-/// How many connections each side may have.
+/// Maximum number of connections to each side.
 pub struct Budget {
     pub clients: usize,
     pub upstreams: usize,
@@ -149,13 +149,13 @@
         Self::from_file(File::read()?)
     }
 
-    /// The file at `path` with the environment over it, as `check` reads it.
+    /// Reads the file at `path`, overridden by the environment, for `check`.
     pub fn from_path(path: &str) -> Result<Self, ConfigError> {
         Self::from_file(File::read_from(path.to_owned())?)
     }
 
     fn from_file(file: File) -> Result<Self, ConfigError> {
-        // The environment and the file say the same; the environment is the platform's first word.
+        // The environment takes precedence over the file.
         let env_or = |name: &str, file: String| std::env::var(name).unwrap_or(file);
         let address = |name: &'static str, file: String| address(name, env_or(name, file));
         let catalog = file.catalog()?;
@@ -185,16 +185,16 @@
         })
     }
 
-    /// What the file says by now of discovery and services, checked whole. The environment can't change after the
-    /// start, so only the file counts.
+    /// Reads and validates the complete file again. Only the file counts, since the environment cannot change after the
+    /// start.
     pub fn reload() -> Result<ReloadedConfig, ConfigError> {
         let file = File::read()?;
         let catalog = file.services.is_some().then(|| file.catalog()).transpose()?;
         Ok(ReloadedConfig { discovery: addresses("discovery", file.discovery)?, catalog })
     }
 
-    /// Half the descriptors for each side. Every attempt belongs to a client's request, so while clients
-    /// keep to their half, upstreams can never need more than theirs.
+    /// Half of the descriptors for each side. Every attempt belongs to a client's request, so upstream connections
+    /// never need more than their half as long as clients are limited to theirs.
     pub fn budget(&self) -> Budget {
         let half = (self.sockets - RESERVED_DESCRIPTORS) / 2;
         Budget { clients: half, upstreams: half }
--- a/src/bin/hollowpaddle/main.rs
+++ b/src/bin/hollowpaddle/main.rs
@@ -1,7 +1,7 @@
-//! One balancer on real sockets: clients in server, upstreams behind, every decision in the module.
+//! The load balancer process, and the entry point of the program's other roles.
 //!
-//! Everything runs on one thread. The tasks that do I/O tell the [`engine`] what happened and carry out
-//! what it says; only the engine touches the module.
+//! The proxy runs on one thread. I/O tasks report events to the [`engine`] and carry out its actions; the policy
+//! (decision module) makes all decisions and is called by the engine alone.
 #![forbid(unsafe_code)]
 
 mod bodies;
@@ -39,11 +39,11 @@
 use succession::{ProcessRegistration, listen};
 use upstreams::Pool;
 
-/// Bodies that are kept whole may use this part of the memory; buffers on the way and a second process beside
-/// this one need the rest.
+/// Buffered bodies may use the memory limit divided by this; stream buffers and a second process during a takeover
+/// need the rest.
 const BUFFERED_BODY_MEMORY_DIVISOR: usize = 4;
 
-/// How the program ended other than well: a refused configuration, or a failure once it ran.
+/// Why the program failed: an invalid configuration, or an error at run time.
 enum Failure {
     Config(String),
     Role(RoleError),
@@ -86,7 +86,7 @@
     ExitCode::from(code)
 }
 
-/// `check`: reads the file as its role would, or the state directory, and says what it found.
+/// `check`: reads the configuration file as its role would, or the state directory, and prints the result.
 fn check(args: &CheckArgs) -> Result<(), Failure> {
     if let Some(dir) = &args.state_dir {
         let found = roles::check_state(args.role, dir).map_err(Failure::Config)?;
@@ -111,7 +111,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| Failure::Run(format!("runtime: {e}")))?;
     LocalSet::new().block_on(&runtime, async {
-        // Before the file is read, which may be long: unhandled, the signal ends the program.
+        // Registered before the file is read, which may take long: an unhandled SIGHUP ends the program.
         let hangup = Signals::of(SignalKind::Hangup);
         let hangup = hangup.map_err(|e| Failure::Run(format!("SIGHUP: {e}")))?;
         let config = Config::from_env().map_err(|e| Failure::Config(e.to_string()))?;
@@ -144,34 +144,35 @@
         let management = Management::new(handle.clone(), lifecycle.clone(), figures.clone());
         tokio::task::spawn_local(management.serve(management_listener));
     }
-    // The bound address, not the wanted one: with port 0 it is the only word of where clients connect.
+    // Logs the bound address rather than the configured one, which may have port 0.
     let bound = listener.local_addr().map_err(|e| format!("listen on {}: {e}", config.listen))?;
     tracing::info!(name = config.name, "listening on {bound}");
     let server = Rc::new(ClientServer::new(handle, lifecycle, figures, memory, budget.clients));
     let registration = ProcessRegistration::register(bound, &listener);
     let serve = server.serve(listener, registration, async move {
         if let Err(cause) = term.recv().await {
-            tracing::error!(%cause, "SIGTERM is not heard any more");
+            tracing::error!(%cause, "cannot receive SIGTERM any more");
         }
     });
     tokio::select! {
         () = serve => Ok(()),
-        // Without it nothing is ever answered well again; a restart is better.
-        _ = engine => Err("the engine ended".to_string()),
+        // Without the engine no request can be served; the process exits to be restarted.
+        _ = engine => Err("the engine stopped unexpectedly".to_string()),
     }
 }
 
-/// On SIGHUP the file may name another address of discovery, and other services and routes. Failure: unhandled, the signal ended the program.
+/// On SIGHUP, reads the addresses of discovery, the services and the routes from the file again. An unhandled SIGHUP
+/// would end the program.
 async fn reconfigure(mut hangup: Signals, engine: Handle) {
     while hangup.recv().await.is_ok() {
         match Config::reload() {
             Ok(ReloadedConfig { discovery, catalog }) => {
-                tracing::info!(addresses = ?discovery, "discovery has moved");
+                tracing::info!(addresses = ?discovery, "discovery addresses reloaded");
                 engine.discovery_moved(discovery);
                 engine.reload(catalog);
             }
-            // What was in force still serves; a balancer that ends on a bad file would not.
-            Err(cause) => tracing::warn!(%cause, "the new configuration is left aside"),
+            // The current configuration stays in force; exiting on an invalid file would interrupt service.
+            Err(cause) => tracing::warn!(%cause, "cannot reload the configuration; keeping the current one"),
         }
     }
 }
--- a/src/bin/hollowpaddle/succession.rs
+++ b/src/bin/hollowpaddle/succession.rs
@@ -1,4 +1,6 @@
-//! Whether another process serves the same address: two share it while one replaces the other.
+//! Handover of a listening address between processes: two share it (`SO_REUSEPORT`) while one replaces the other.
+//!
+//! Each process registers itself at the address by a locked marker file in the temporary directory.
 
 use std::fs::{File, TryLockError};
 use std::net::SocketAddr;
@@ -12,19 +14,19 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep};
 
-/// The kernel's buffers on a connection, each way. Left to itself it keeps megabytes for one slow reader, which is
-/// memory too; and no progress could be seen until most of them had gone.
+/// Size of the kernel's send and receive buffers of a connection. With auto-tuning the kernel may buffer megabytes for
+/// one slow reader: that takes memory, and no progress is visible until most of it was sent.
 pub const SOCKET_BUFFER_BYTES: u32 = 128 << 10;
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
 
-/// Listens where an older process of this program may still listen too.
+/// Listens on `address`, on which another process of this program may be listening too.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
     socket.set_reuse_port(true)?;
     socket.set_nonblocking(true)?;
-    // Inherited by what is accepted.
+    // Accepted connections inherit the buffer sizes.
     socket.set_send_buffer_size(SOCKET_BUFFER_BYTES as usize)?;
     socket.set_recv_buffer_size(SOCKET_BUFFER_BYTES as usize)?;
     socket.bind(&address.into())?;
@@ -32,48 +34,49 @@
     TcpListener::from_std(socket.into())
 }
 
-/// What a process says of itself by the name of its mark.
+/// Words in a marker file's name that give the state of its process.
 const SERVING: &str = "serves";
 const ENDING: &str = "ends";
-/// How long connections that are coming up here have, once new ones are led to another process.
+/// Time for connections that are being established here, once new ones are redirected to another process.
 const REDIRECT_SETTLE_TIME: Duration = Duration::from_millis(100);
-/// How long one process waits while another ends at the address, and how often it looks.
+/// How long a process waits for another that is ending at the address, and the interval of its checks.
 const TURN_TIMEOUT: Duration = Duration::from_millis(300);
 const TURN_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// No index in a group of listeners: the kernel goes by its hash.
+/// An index outside any listener group: the kernel falls back to selection by hash.
 const NO_REDIRECT: u32 = u32::MAX;
 
-/// This process's word that it serves an address: a file that it holds locked for as long as it lives. A file, for
-/// a process that is replaced hears of it from nobody: its successor knows neither its id nor where its operators
-/// call. Locked, for one that was killed leaves its file behind, and succeeds nobody.
+/// This process's registration at an address: a marker file that it keeps locked for as long as it runs. A file is
+/// used because nobody notifies a process that it is replaced: its successor knows neither its process id nor its
+/// management address. The lock distinguishes live processes from killed ones, which leave their files behind and must
+/// not count as successors.
 pub struct ProcessRegistration {
     folder: PathBuf,
     address: String,
-    /// When this process began, and its id: marks sort by it in the order in which their processes began.
+    /// Start time and process id; marker files sort by it in the order in which their processes started.
     name: String,
     _locked: Option<File>,
 }
 
 impl ProcessRegistration {
-    /// Marks this process as one that serves what `listener` is bound to.
+    /// Registers this process as serving the address of `listener`. A failure is logged; there is no handover then.
     pub fn register(listen: SocketAddr, listener: &TcpListener) -> Self {
         let address = listen.to_string().replace(|c: char| !c.is_ascii_alphanumeric(), "-");
         let name = format!("{}-{}", start_time(), std::process::id());
         let mut registration = Self { folder: std::env::temp_dir(), address, name, _locked: None };
         let locked = create_locked(&registration.folder, &registration.file(SERVING)).inspect_err(|cause| {
             let folder = registration.folder.display();
-            tracing::warn!(%cause, %folder, "no mark left for a process replaced");
+            tracing::warn!(%cause, %folder, "cannot create marker file; a replaced process will not detect this one");
         });
         registration._locked = locked.ok();
-        // One that ended before may have left its word on where new connections go.
+        // A process that has ended may have left its redirect program on the listener group.
         if registration.processes().len() > 1 {
             let _ = attach_redirect(listener, NO_REDIRECT);
         }
         registration
     }
 
-    /// Says that this process ends, and finds those that serve the address on. In doubt there is none. Of two that
-    /// end at once neither counts for the other: each says so first.
+    /// Marks this process as ending and lists the processes at the address; on an error the list is empty. Since the
+    /// marker file is renamed first, two processes that end at the same time do not take each other for successors.
     pub fn begin_handover(self) -> Handover {
         let _ = std::fs::rename(self.path(SERVING), self.path(ENDING));
         let group = self.processes();
@@ -92,7 +95,7 @@
         self.folder.join(self.file(word))
     }
 
-    /// All processes that live at the address, this one too, in the order in which they began.
+    /// All live processes at the address, including this one, in the order in which they started.
     fn processes(&self) -> Vec<Process> {
         let Ok(files) = std::fs::read_dir(&self.folder) else { return Vec::new() };
         let (serves, ends) = (self.prefix(SERVING), self.prefix(ENDING));
@@ -105,7 +108,7 @@
         };
         let mut found: Vec<_> = files.filter_map(|file| read(file.ok()?)).collect();
         found.sort_by(|a, b| a.name.cmp(&b.name));
-        // Renamed while the folder is read, one may show up under either word, and ends.
+        // A file that is renamed while the directory is read may be listed under both names; its process is ending.
         found.dedup_by(|a, b| {
             let same = a.name == b.name;
             b.serves &= !same || a.serves;
@@ -115,18 +118,18 @@
     }
 }
 
-/// A process at the address, by its mark.
+/// A process at the address, as its marker file describes it.
 #[derive(Clone, Debug)]
 struct Process {
     name: String,
     serves: bool,
 }
 
-/// The end of this process's service at an address, until it is dropped.
+/// The handover of an address by an ending process; dropping it removes the process's marker file.
 pub struct Handover {
     registration: ProcessRegistration,
-    /// Those that listen at the address in the kernel's order: who begins is its last, and where one leaves, the last
-    /// takes its index.
+    /// The processes that listen on the address, in the kernel's order: a new listener is appended, and when one is
+    /// closed, the last takes its index.
     group: Vec<Process>,
 }
 
@@ -137,14 +140,15 @@
 }
 
 impl Handover {
-    /// Whether another process goes on serving the address.
+    /// Whether another process continues to serve the address.
     pub fn has_successor(&self) -> bool {
         self.group.iter().any(|process| process.serves)
     }
 
-    /// Leads new connections to a process that stays, and waits until those that are coming up here have come: what a
-    /// close finds in its queue is reset. What is returned has to outlive the listener. Where the kernel can't be
-    /// told, or a third process has left the address before, they are spread by hash until the close, as always.
+    /// Redirects new connections to the newest process that stays, and waits until those that are being established
+    /// here are queued, since closing the listener resets connections in its queue. The returned lock must outlive the
+    /// listener. If the kernel rejects the program, or a third process left the address before, connections stay
+    /// distributed by hash until the listener is closed.
     pub async fn redirect(&mut self, listener: &TcpListener) -> Option<File> {
         let turn = self.wait_for_turn().await;
         let mut target = None;
@@ -158,7 +162,7 @@
                 break;
             }
             if let Err(cause) = attach_redirect(listener, to) {
-                tracing::debug!(%cause, "connections are not led away");
+                tracing::debug!(%cause, "cannot redirect new connections to the other process");
                 break;
             }
             target = Some(to);
@@ -167,7 +171,8 @@
         turn
     }
 
-    /// Waits while another process ends at the address, so that the group is what it was found to be.
+    /// Waits for other ending processes at the address, so that the listener group does not change meanwhile. Returns
+    /// the held lock; `None` on a failure or after [`TURN_TIMEOUT`].
     async fn wait_for_turn(&self) -> Option<File> {
         let file =
             File::create(self.registration.folder.join(self.registration.prefix("turn"))).ok()?;
@@ -182,7 +187,7 @@
         None
     }
 
-    /// Takes over who has come, gone, or ends by now.
+    /// Updates the group with the processes that have started, gone, or begun to end.
     fn refresh_group(&mut self) {
         let mut now = self.registration.processes();
         let mut index = 0;
@@ -199,23 +204,23 @@
     }
 }
 
-/// When this process started, in nanoseconds of the system's monotonic clock: the wall clock may be stepped between two
-/// starts. The first digit puts it behind all that older versions wrote by the wall clock.
+/// When this process started, in nanoseconds of the system's monotonic clock, since the wall clock may be set back
+/// between two starts. The leading 1 sorts it after the wall-clock times that older versions wrote.
 fn start_time() -> String {
     let since_boot = clock_gettime(ClockId::CLOCK_MONOTONIC).map(Duration::from);
     format!("1{:023}", since_boot.unwrap_or_default().as_nanos())
 }
 
-/// Leads all new connections of the address to the listener at this index of its group.
+/// Attaches a BPF program that assigns all new connections of the address to the listener at `index` of its group.
 fn attach_redirect(listener: &TcpListener, index: u32) -> nix::Result<()> {
-    // The program's whole text: "return index".
+    // A single instruction: return `index`.
     let code = (libc::BPF_RET | libc::BPF_K) as u16;
     let mut text = [libc::sock_filter { code, jt: 0, jf: 0, k: index }];
     let program = libc::sock_fprog { len: 1, filter: text.as_mut_ptr() };
     setsockopt(listener, sockopt::AttachReusePortCbpf, &program)
 }
 
-/// Makes a file that is locked before others can find it.
+/// Creates a file that is already locked when it appears under its name.
 fn create_locked(folder: &Path, name: &str) -> std::io::Result<File> {
     let unfinished = folder.join(format!(".{name}"));
     let file = File::create(&unfinished)?;
@@ -224,7 +229,7 @@
     Ok(file)
 }
 
-/// Whether the process that made this mark lives; what a dead one left is removed.
+/// Whether the process that created this marker file is alive; the file of a dead process is removed.
 fn is_locked(mark: &Path) -> bool {
     let Ok(file) = File::open(mark) else { return false };
     match file.try_lock_shared() {
--- a/src/bin/hollowpaddle/succession/tests.rs
+++ b/src/bin/hollowpaddle/succession/tests.rs
@@ -5,8 +5,7 @@
 
 use super::*;
 
-/// A process that serves the address, or would be one: the kernel and the marks tell sockets and locks apart, not
-/// whose they are.
+/// Stands for a process that serves the address: listeners and file locks of one process behave like those of several.
 struct Node {
     listener: TcpListener,
     registration: ProcessRegistration,
@@ -25,14 +24,14 @@
     }
 }
 
-fn anywhere() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
 const CLIENTS: usize = 64;
 
-/// How many of the clients that come now each of these listeners finds in its queue.
-async fn comers(address: SocketAddr, listeners: &[&TcpListener]) -> Vec<usize> {
+/// Opens connections to the address and counts how many each of these listeners accepts.
+async fn count_accepted(address: SocketAddr, listeners: &[&TcpListener]) -> Vec<usize> {
     let mut clients = Vec::new();
     for _ in 0..CLIENTS {
         clients.push(TcpStream::connect(address).await.expect("it listens"));
@@ -49,25 +48,25 @@
 }
 
 #[tokio::test]
-async fn clients_that_come_are_led_to_the_process_that_stays_whichever_ends() {
+async fn new_connections_are_redirected_to_the_process_that_stays() {
     for older_ends in [true, false] {
-        let older = Node::start(anywhere());
+        let older = Node::start(any_port());
         let at = older.address();
         let newer = Node::start(at);
         let (ends, stays) = if older_ends { (older, newer) } else { (newer, older) };
         let mut ending = ends.registration.begin_handover();
         assert!(ending.has_successor());
         let _turn = ending.redirect(&ends.listener).await;
-        assert_eq!(comers(at, &[&ends.listener, &stays.listener]).await, [0, CLIENTS]);
+        assert_eq!(count_accepted(at, &[&ends.listener, &stays.listener]).await, [0, CLIENTS]);
         drop(ends.listener);
-        assert_eq!(comers(at, &[&stays.listener]).await, [CLIENTS]);
+        assert_eq!(count_accepted(at, &[&stays.listener]).await, [CLIENTS]);
     }
 }
 
 #[tokio::test]
-async fn of_three_two_that_end_at_once_lead_all_to_the_third() {
+async fn two_of_three_that_end_at_once_redirect_to_the_third() {
     for (stays, older_first) in (0..3).flat_map(|n| [(n, true), (n, false)]) {
-        let first = Node::start(anywhere());
+        let first = Node::start(any_port());
         let at = first.address();
         let mut group = vec![first, Node::start(at), Node::start(at)];
         let stays = group.remove(stays);
@@ -79,17 +78,17 @@
         while let Some((listener, mut ending)) = endings.pop() {
             assert!(ending.has_successor());
             let turn = ending.redirect(&listener).await;
-            let counts = comers(at, &[&listener, &stays.listener]).await;
+            let counts = count_accepted(at, &[&listener, &stays.listener]).await;
             assert_eq!(counts, [0, CLIENTS], "{} more end", endings.len());
             drop((listener, ending, turn));
         }
-        assert_eq!(comers(at, &[&stays.listener]).await, [CLIENTS]);
+        assert_eq!(count_accepted(at, &[&stays.listener]).await, [CLIENTS]);
     }
 }
 
 #[tokio::test]
-async fn one_waits_for_its_turn_while_another_ends() {
-    let first = Node::start(anywhere());
+async fn a_process_waits_while_another_ends() {
+    let first = Node::start(any_port());
     let at = first.address();
     let (second, _stays) = (Node::start(at), Node::start(at));
     let (mut one, mut other) = (first.registration.begin_handover(), second.registration.begin_handover());
@@ -100,25 +99,25 @@
 }
 
 #[tokio::test]
-async fn who_comes_after_a_takeover_gets_its_part_again() {
-    let older = Node::start(anywhere());
+async fn a_process_started_after_a_takeover_gets_connections() {
+    let older = Node::start(any_port());
     let at = older.address();
     let newer = Node::start(at);
     let mut ending = older.registration.begin_handover();
     let turn = ending.redirect(&older.listener).await;
     drop((older.listener, ending, turn));
     let newest = Node::start(at);
-    let counts = comers(at, &[&newer.listener, &newest.listener]).await;
+    let counts = count_accepted(at, &[&newer.listener, &newest.listener]).await;
     assert_eq!(counts.iter().sum::<usize>(), CLIENTS);
     assert!(counts.iter().all(|&n| n > 0), "{counts:?}");
 }
 
 #[tokio::test]
-async fn a_killed_process_or_one_that_ends_succeeds_nobody() {
-    let older = Node::start(anywhere());
+async fn killed_and_ending_processes_are_no_successors() {
+    let older = Node::start(any_port());
     let at = older.address();
     let killed = Node::start(at);
-    // What a SIGKILL leaves: the file without its lock.
+    // SIGKILL leaves the file behind without its lock.
     let file = killed.registration.path(SERVING);
     drop((killed.listener, killed.registration));
     assert!(file.exists());
@@ -130,7 +129,7 @@
 }
 
 #[test]
-fn a_clock_that_was_set_back_between_two_starts_swaps_no_processes() {
+fn start_times_do_not_depend_on_the_wall_clock() {
     let by_wall_clock =
         format!("{:024}", std::time::UNIX_EPOCH.elapsed().expect("after it").as_nanos());
     let (first, second) = (start_time(), start_time());
--- a/src/signals/mod.rs
+++ b/src/signals/mod.rs
@@ -1,6 +1,6 @@
-//! Signals that the process waits for, by a pipe that their handler writes to.
+//! Asynchronous signal handling through a pipe that the signal handler writes to.
 //!
-//! Tokio's own signal driver panics where a read of its pipe is interrupted; here that read is made again.
+//! Tokio's signal driver panics if a read of its pipe is interrupted (EINTR); here the read is retried.
 
 use std::io::ErrorKind;
 
@@ -8,14 +8,14 @@
 use signal_hook::low_level::pipe::register;
 use tokio::net::unix::pipe;
 
-/// A signal that the program handles.
+/// A signal handled by the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalKind {
-    /// SIGHUP: the configuration has changed.
+    /// SIGHUP: reload the configuration.
     Hangup,
-    /// SIGINT: somebody at a terminal ends the program.
+    /// SIGINT: an interrupt from the terminal; shut down.
     Interrupt,
-    /// SIGTERM: the program has to end.
+    /// SIGTERM: shut down.
     Terminate,
 }
 
@@ -29,25 +29,25 @@
     }
 }
 
-/// One kind of signal, from its registration on.
+/// A stream of signals of one kind, from its registration on.
 #[derive(Debug)]
 pub struct Signals(pipe::Receiver);
 
 impl Signals {
-    /// Handles this signal from now on, in place of its default action.
+    /// Installs a handler for this signal in place of its default action.
     ///
     /// # Errors
-    /// What the system says of the pipe or of the handler.
+    /// The pipe could not be created, or the handler not installed.
     pub fn of(kind: SignalKind) -> std::io::Result<Self> {
         let (sender, receiver) = pipe::pipe()?;
         register(kind.number(), sender.into_nonblocking_fd()?)?;
         Ok(Self(receiver))
     }
 
-    /// Waits for the next one; those that came in the meantime count as one.
+    /// Waits for the next signal; signals received since the last call are merged into one.
     ///
     /// # Errors
-    /// What the system says of the pipe.
+    /// The pipe could not be read.
     pub async fn recv(&mut self) -> std::io::Result<()> {
         let mut bytes = [0; 64];
         loop {
--- a/src/socket/mod.rs
+++ b/src/socket/mod.rs
@@ -1,8 +1,8 @@
-//! A TCP connection of either side, and what the kernel knows of its peer.
+//! TCP connections to clients and upstreams, with queries of the kernel's view of the peer.
 //!
-//! Short reads and writes and interrupted calls (EINTR) are ordinary results on Linux. Tokio's stream takes a short one
-//! for "not ready" and waits for an edge that never comes; hyper takes EINTR for the end of the connection. Here
-//! `WouldBlock` alone clears readiness, and a call that failed on a connection that still stands is made again.
+//! Short reads and writes and interrupted calls (EINTR) are normal on Linux. Tokio's stream treats a short one as "not
+//! ready" and waits for an edge that never comes; hyper treats EINTR as the end of the connection. Here only
+//! `WouldBlock` clears readiness, and a call that failed on a connection that is still open is retried.
 
 use std::io::{ErrorKind, IoSlice};
 use std::mem::MaybeUninit;
@@ -21,13 +21,13 @@
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-/// Failed calls in a row on a connection that still stands, before the failure is believed.
+/// Consecutive failed calls on an open connection after which the error is returned.
 const MAX_CONSECUTIVE_FAILURES: u32 = 64;
 
-/// Wait after an accept that failed for want of descriptors or memory: a retry at once would be a busy loop.
+/// Delay after an accept that failed for lack of descriptors or memory, where an immediate retry would be a busy loop.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Failures of accept that concern the one connection, or the call alone (accept(2)): the next is accepted at once.
+/// Errors of accept that concern a single connection or call (accept(2)); the next accept follows without a delay.
 const PER_CONNECTION_ERRORS: [i32; 12] = [
     libc::EINTR,
     libc::ECONNABORTED,
@@ -43,12 +43,12 @@
     libc::ETIMEDOUT,
 ];
 
-/// Whether a failed accept says nothing of the connections behind it.
+/// Whether an accept error does not affect the connections queued behind it.
 fn is_per_connection_error(cause: &std::io::Error) -> bool {
     cause.raw_os_error().is_some_and(|code| PER_CONNECTION_ERRORS.contains(&code))
 }
 
-/// Waits after a failed accept until the next is worth a try.
+/// Waits after a failed accept for as long as its error requires.
 pub async fn after_failed_accept(cause: &std::io::Error) {
     if is_per_connection_error(cause) {
         yield_now().await;
@@ -57,49 +57,49 @@
     }
 }
 
-/// What waits to be read on a connection.
+/// What is pending to be read on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unread {
-    /// No byte, and no end.
+    /// Neither data nor the end of the stream.
     Nothing,
-    /// One byte or more; an end may follow them.
+    /// At least one byte; the end of the stream may follow.
     Bytes,
     /// The peer's close, or a reset.
     End,
 }
 
-/// A connection, shared by whoever serves it and whoever looks after it.
+/// A connection, shared by the task that serves it and those that observe it.
 #[derive(Clone, Debug)]
 pub struct Socket(Rc<TcpStream>);
 
 impl Socket {
-    /// Takes over a connection of the runtime's.
+    /// Wraps a connection that is registered with the runtime.
     pub fn new(stream: TcpStream) -> Self {
         Self(Rc::new(stream))
     }
 
-    /// A view of the peer that does not keep the connection open.
+    /// A handle that observes the peer and does not keep the connection open.
     pub fn peer(&self) -> Peer {
         Peer(Rc::downgrade(&self.0))
     }
 
-    /// What waits to be read, as the kernel knows it now: what the runtime has seen may be a moment old.
+    /// What is pending to be read. Asks the kernel, because the runtime's readiness state may be stale.
     pub fn unread(&self) -> Unread {
         unread(&self.0)
     }
 
-    /// Whether the peer has closed its end, or all of the connection, as the kernel knows it now; bytes before that
-    /// may be unread.
+    /// Whether the peer has closed its write side or the connection, according to the kernel; bytes received before
+    /// that may still be unread.
     pub fn peer_closed(&self) -> bool {
         peer_closed(&self.0)
     }
 
-    /// Whether a failed call says nothing of the connection.
+    /// Whether a failed call may be retried because the connection is still open.
     fn is_transient(&self, cause: &std::io::Error) -> bool {
         cause.kind() == ErrorKind::Interrupted || !self.peer_closed()
     }
 
-    /// Makes a call until it succeeds, has to wait, or its failure is the connection's. Waits for readiness with
+    /// Repeats a call until it succeeds, would block, or the connection itself has failed. Polls readiness with
     /// `ready`.
     fn call<T>(
         &self,
@@ -121,17 +121,17 @@
     }
 }
 
-/// The peer of a connection, for as long as the connection is open here.
+/// A weak handle to a connection's peer.
 #[derive(Clone, Debug, Default)]
 pub struct Peer(Weak<TcpStream>);
 
 impl Peer {
-    /// Whether the peer has closed its end, or the connection has ended here.
+    /// Whether the peer has closed its write side or the connection, or the connection is closed on this side.
     pub fn has_closed(&self) -> bool {
         self.0.upgrade().is_none_or(|stream| peer_closed(&stream))
     }
 
-    /// What waits to be read; the end, where the connection has ended here.
+    /// What is pending to be read; [`Unread::End`] if the connection is closed on this side.
     pub fn unread(&self) -> Unread {
         self.0.upgrade().map_or(Unread::End, |stream| unread(&stream))
     }
@@ -149,7 +149,7 @@
     }
 }
 
-/// Whether a call failed by what the system lacks at the moment, or would have had to wait.
+/// Whether a call failed for a temporary lack of memory or buffers, or would have blocked.
 fn is_temporary(cause: &std::io::Error) -> bool {
     let out_of_memory = [libc::ENOBUFS, libc::ENOMEM].map(Some).contains(&cause.raw_os_error());
     out_of_memory || cause.kind() == ErrorKind::WouldBlock
@@ -159,9 +159,9 @@
     poll_reports_close(stream) || unread(stream) == Unread::End || runtime_reports_close(stream)
 }
 
-/// Asks the kernel, which tells a close also behind unread bytes.
+/// Asks the kernel, which reports a close also if unread bytes precede it.
 fn poll_reports_close(stream: &TcpStream) -> bool {
-    // An error and a full hang-up are told unasked.
+    // POLLERR and POLLHUP are always reported.
     let closes = PollFlags::from_bits_retain(libc::POLLRDHUP);
     let mut asked = [PollFd::new(stream.as_fd(), closes)];
     loop {
@@ -173,7 +173,7 @@
     }
 }
 
-/// What the runtime has seen of it.
+/// Whether the runtime's readiness state includes a close.
 fn runtime_reports_close(stream: &TcpStream) -> bool {
     let state =
         pin!(stream.ready(Interest::READABLE)).poll(&mut Context::from_waker(Waker::noop()));
--- a/src/socket/tests.rs
+++ b/src/socket/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn an_aborted_connection_costs_those_behind_it_no_wait() {
+fn accept_errors_of_one_connection_cause_no_delay() {
     let at_once = |code| is_per_connection_error(&Error::from_raw_os_error(code));
     for code in [libc::ECONNABORTED, libc::EINTR, libc::ENETUNREACH, libc::EHOSTUNREACH] {
         assert!(at_once(code), "{}", Error::from_raw_os_error(code));
