--- a/src/bin/hollowpaddle/bodies.rs
+++ b/src/bin/hollowpaddle/bodies.rs
@@ -157,7 +157,11 @@
         let next = next.and_then(|data| {
             self.pace.borrow_mut().record_received(data.len());
             self.read.set(self.read.get() + data.len() as u64);
-            if self.read.get() > MAX_REQUEST_BODY_BYTES { Err(BodyError::TooLarge) } else { Ok(data) }
+            if self.read.get() > MAX_REQUEST_BODY_BYTES {
+                Err(BodyError::TooLarge)
+            } else {
+                Ok(data)
+            }
         });
         match next {
             Err(why) => self.end(Err(why)),
--- a/src/bin/hollowpaddle/client_connection.rs
+++ b/src/bin/hollowpaddle/client_connection.rs
@@ -29,7 +29,8 @@
 /// Time by which the body must have started, counted as for the head; and the minimum and maximum wait for it after
 /// the head.
 const BODY_START_LIMIT: Duration = Duration::from_millis(2800);
-const BODY_START_TIMEOUT_RANGE: [Duration; 2] = [Duration::from_millis(1000), Duration::from_millis(2000)];
+const BODY_START_TIMEOUT_RANGE: [Duration; 2] =
+    [Duration::from_millis(1000), Duration::from_millis(2000)];
 /// A client that reads nothing of its response for this long is treated as gone.
 const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Longest interval between two checks of a connection's timeouts.
@@ -83,7 +84,7 @@
 }
 
 impl ClientConnection {
-    /// A newly accepted connection that may have waited in the backlog since `waited`.
+    /// A newly accepted connection; it may have waited in the backlog since `backlog_since`.
     pub fn new(backlog_since: Option<Instant>) -> Self {
         Self {
             backlog_since: Cell::new(backlog_since),
@@ -124,7 +125,9 @@
                     sleep(RECHECK_DELAY).await;
                     continue;
                 }
-                if !matches!(self.state.get(), State::Idle(_)) || self.write_stalled_since.get().is_some() {
+                if !matches!(self.state.get(), State::Idle(_))
+                    || self.write_stalled_since.get().is_some()
+                {
                     tracing::info!(state = ?self.state.get(), "client connection timed out");
                 }
                 return;
@@ -151,7 +154,9 @@
         CloseFacts {
             client_closed: socket.peer_closed(),
             unanswered: has_served && matches!(self.state.get(), State::Asking(_)),
-            unread: has_served && matches!(self.state.get(), State::Idle(_)) && has_unread_bytes(socket),
+            unread: has_served
+                && matches!(self.state.get(), State::Idle(_))
+                && has_unread_bytes(socket),
         }
     }
 
@@ -187,9 +192,7 @@
             (None, State::Idle(since)) => {
                 Some(since + if room == Room::Plenty { IDLE_TIMEOUT } else { IDLE_TIMEOUT_CROWDED })
             }
-            (None, State::Silent(since)) if room == Room::Full => {
-                Some(since + SILENT_TIMEOUT_FULL)
-            }
+            (None, State::Silent(since)) if room == Room::Full => Some(since + SILENT_TIMEOUT_FULL),
             (None, State::Silent(since) | State::Asking(since)) => Some(since + HEAD_TIMEOUT),
             (None, State::Served) => None,
         }
@@ -198,7 +201,8 @@
     /// Records the result of a write; `stalled` if nothing could be written.
     fn record_write(&self, stalled: bool) {
         let now = Instant::now();
-        self.write_stalled_since.set(stalled.then(|| self.write_stalled_since.get().unwrap_or(now)));
+        self.write_stalled_since
+            .set(stalled.then(|| self.write_stalled_since.get().unwrap_or(now)));
         if let (false, State::Idle(_)) = (stalled, self.state.get()) {
             self.state.set(State::Idle(now));
         }
@@ -245,7 +249,8 @@
         let mut unread = vec![0; 4096];
         while socket.read(&mut unread).await.is_ok_and(|n| n > 0) {}
     };
-    let _ = timeout(if is_crowded { LINGER_TIMEOUT_CROWDED } else { LINGER_TIMEOUT }, read_on).await;
+    let _ =
+        timeout(if is_crowded { LINGER_TIMEOUT_CROWDED } else { LINGER_TIMEOUT }, read_on).await;
 }
 
 /// A stream that records reads and writes in the connection's state.
--- a/src/bin/hollowpaddle/client_connection/tests.rs
+++ b/src/bin/hollowpaddle/client_connection/tests.rs
@@ -9,7 +9,10 @@
     assert!(connection.expires_at(Room::Plenty) > Some(idle), "while there is room it may stay");
     connection.record_write(true);
     let reading = connection.expires_at(Room::Scarce).expect("there is a limit");
-    assert!(reading > Instant::now() + RESPONSE_STALL_TIMEOUT - CHECK_INTERVAL, "the end of its answer is not taken yet");
+    assert!(
+        reading > Instant::now() + RESPONSE_STALL_TIMEOUT - CHECK_INTERVAL,
+        "the end of its answer is not taken yet"
+    );
     std::thread::sleep(Duration::from_millis(20));
     connection.record_write(true);
     assert_eq!(connection.expires_at(Room::Scarce), Some(reading), "waiting again is no progress");
--- a/src/bin/hollowpaddle/clients.rs
+++ b/src/bin/hollowpaddle/clients.rs
@@ -29,8 +29,13 @@
 use tokio::task::unconstrained;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::bodies::{ResponseBody, BodyError, MAX_BUFFERED_BYTES, MAX_REQUEST_BODY_BYTES, BodyMemory, Payload, RequestBody};
-use crate::client_connection::{ClientConnection, ObservedStream, RequestGuard, Room, lingering_close};
+use crate::bodies::{
+    BodyError, BodyMemory, MAX_BUFFERED_BYTES, MAX_REQUEST_BODY_BYTES, Payload, RequestBody,
+    ResponseBody,
+};
+use crate::client_connection::{
+    ClientConnection, ObservedStream, RequestGuard, Room, lingering_close,
+};
 use crate::engine::{Arrival, Handle, Reply};
 use crate::lifecycle::{LINGER, Lifecycle};
 use crate::succession::ProcessRegistration;
@@ -166,7 +171,9 @@
                 Ok((stream, _)) => {
                     match stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
                         Ok(stream) => self.spawn_connection(stream),
-                        Err(cause) => tracing::warn!(%cause, "could not register an accepted connection; closing it"),
+                        Err(cause) => {
+                            tracing::warn!(%cause, "cannot register an accepted connection; closing it")
+                        }
                     }
                 }
                 Err(cause) if cause.kind() == ErrorKind::WouldBlock => return,
@@ -211,7 +218,10 @@
     }
 
     /// Accepts the next connection; clears `backlog_since` when the backlog is empty.
-    async fn accept_next(&self, listener: &TcpListener) -> std::io::Result<(TcpStream, SocketAddr)> {
+    async fn accept_next(
+        &self,
+        listener: &TcpListener,
+    ) -> std::io::Result<(TcpStream, SocketAddr)> {
         // With tokio's cooperative budget exhausted, accept would return pending as if the backlog were empty.
         let mut accept = pin!(unconstrained(listener.accept()));
         tokio::select! {
@@ -253,7 +263,11 @@
             tokio::select! {
                 biased;
                 _ = &mut connection => {
-                    return if client.answered_lately() { ConnectionEnd::Served } else { ConnectionEnd::Idle };
+                    return if client.answered_lately() {
+                        ConnectionEnd::Served
+                    } else {
+                        ConnectionEnd::Idle
+                    };
                 }
                 () = &mut timed_out => return ConnectionEnd::Lost,
                 () = &mut abandoned => return ConnectionEnd::Left,
@@ -310,7 +324,9 @@
         };
         unanswered.answered();
         // Near the limit, connections are closed after their response to make room for clients in the backlog.
-        if !self.lifecycle.serving() || self.open_connections.get() + self.max_connections / 8 >= self.max_connections {
+        if !self.lifecycle.serving()
+            || self.open_connections.get() + self.max_connections / 8 >= self.max_connections
+        {
             answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         Ok(answer.map(|body| body.with_guard(guard)))
@@ -331,7 +347,9 @@
             return body_error_response(BodyError::TooLarge, &id);
         }
         let body = RequestBody::new(body, guard.body_start_timeout());
-        let room = length.map_or(MAX_BUFFERED_BYTES, |n| usize::try_from(n).unwrap_or(MAX_BUFFERED_BYTES).min(MAX_BUFFERED_BYTES));
+        let room = length.map_or(MAX_BUFFERED_BYTES, |n| {
+            usize::try_from(n).unwrap_or(MAX_BUFFERED_BYTES).min(MAX_BUFFERED_BYTES)
+        });
         let hold = self.memory.reserve(room);
         let most = if hold.is_some() { MAX_BUFFERED_BYTES } else { 0 };
         let kept = match body.buffer(most, length).await {
@@ -344,14 +362,19 @@
             return empty_response(StatusCode::BAD_REQUEST);
         }
         // The deadline runs from the request's last byte, which is still to come if the body is incomplete.
-        let arrival =
-            match arrival(service_id, service, &head, &kept, guard.arrived(self.engine.arrived())) {
-                Ok(arrival) => arrival,
-                Err(what) => {
-                    drain(body, guard);
-                    return malformed_response(what);
-                }
-            };
+        let arrival = match arrival(
+            service_id,
+            service,
+            &head,
+            &kept,
+            guard.arrived(self.engine.arrived()),
+        ) {
+            Ok(arrival) => arrival,
+            Err(what) => {
+                drain(body, guard);
+                return malformed_response(what);
+            }
+        };
         let rest = (!body.is_complete()).then(|| body.clone());
         let class = arrival.class;
         let taken = OnceCell::new();
@@ -394,7 +417,9 @@
                 }
                 (End::Refused, answer)
             }
-            Reply::Failed { late: true } => (End::Failed, empty_response(StatusCode::GATEWAY_TIMEOUT)),
+            Reply::Failed { late: true } => {
+                (End::Failed, empty_response(StatusCode::GATEWAY_TIMEOUT))
+            }
             Reply::Failed { late: false } => (End::Failed, empty_response(StatusCode::BAD_GATEWAY)),
         };
         take();
@@ -477,7 +502,7 @@
         if self.answered {
             return;
         }
-        tracing::info!(request = self.id(), "connection ended before the response to this request was sent");
+        tracing::info!(request = self.id(), "connection ended before the response was sent");
         let closing =
             CloseFacts { client_closed: self.client.has_closed(), unanswered: true, unread: false };
         if permit::close(&closing).is_err() {
--- a/src/bin/hollowpaddle/main.rs
+++ b/src/bin/hollowpaddle/main.rs
@@ -32,7 +32,7 @@
 
 use bodies::BodyMemory;
 use clients::ClientServer;
-use config::{ReloadedConfig, Config};
+use config::{Config, ReloadedConfig};
 use engine::{Engine, Handle};
 use lifecycle::Lifecycle;
 use management::Management;
@@ -139,7 +139,8 @@
     tokio::task::spawn_local(reconfigure(hangup, handle.clone()));
     let lifecycle = Rc::new(Lifecycle::new());
     if let Some(management_listener) = management_listener {
-        let at = management_listener.local_addr().map_err(|e| format!("management address: {e}"))?;
+        let at =
+            management_listener.local_addr().map_err(|e| format!("management address: {e}"))?;
         tracing::info!("operators call at {at}");
         let management = Management::new(handle.clone(), lifecycle.clone(), figures.clone());
         tokio::task::spawn_local(management.serve(management_listener));
@@ -172,7 +173,9 @@
                 engine.reload(catalog);
             }
             // The current configuration stays in force; exiting on an invalid file would interrupt service.
-            Err(cause) => tracing::warn!(%cause, "cannot reload the configuration; keeping the current one"),
+            Err(cause) => {
+                tracing::warn!(%cause, "cannot reload the configuration; keeping the current one")
+            }
         }
     }
 }
--- a/src/bin/hollowpaddle/succession.rs
+++ b/src/bin/hollowpaddle/succession.rs
@@ -63,10 +63,11 @@
         let address = listen.to_string().replace(|c: char| !c.is_ascii_alphanumeric(), "-");
         let name = format!("{}-{}", start_time(), std::process::id());
         let mut registration = Self { folder: std::env::temp_dir(), address, name, _locked: None };
-        let locked = create_locked(&registration.folder, &registration.file(SERVING)).inspect_err(|cause| {
-            let folder = registration.folder.display();
-            tracing::warn!(%cause, %folder, "cannot create marker file; a replaced process will not detect this one");
-        });
+        let locked =
+            create_locked(&registration.folder, &registration.file(SERVING)).inspect_err(|cause| {
+                let folder = registration.folder.display();
+                tracing::warn!(%cause, %folder, "cannot create marker file; no handover to this process");
+            });
         registration._locked = locked.ok();
         // A process that has ended may have left its redirect program on the listener group.
         if registration.processes().len() > 1 {
--- a/src/bin/hollowpaddle/succession/tests.rs
+++ b/src/bin/hollowpaddle/succession/tests.rs
@@ -70,8 +70,10 @@
         let at = first.address();
         let mut group = vec![first, Node::start(at), Node::start(at)];
         let stays = group.remove(stays);
-        let mut endings: Vec<(TcpListener, Handover)> =
-            group.into_iter().map(|node| (node.listener, node.registration.begin_handover())).collect();
+        let mut endings: Vec<(TcpListener, Handover)> = group
+            .into_iter()
+            .map(|node| (node.listener, node.registration.begin_handover()))
+            .collect();
         if older_first {
             endings.reverse();
         }
@@ -91,9 +93,13 @@
     let first = Node::start(any_port());
     let at = first.address();
     let (second, _stays) = (Node::start(at), Node::start(at));
-    let (mut one, mut other) = (first.registration.begin_handover(), second.registration.begin_handover());
+    let (mut one, mut other) =
+        (first.registration.begin_handover(), second.registration.begin_handover());
     let turn = one.redirect(&first.listener).await.expect("nobody else ends");
-    assert!(timeout(REDIRECT_SETTLE_TIME, other.redirect(&second.listener)).await.is_err(), "it waits");
+    assert!(
+        timeout(REDIRECT_SETTLE_TIME, other.redirect(&second.listener)).await.is_err(),
+        "it waits"
+    );
     drop((first.listener, one, turn));
     assert!(other.redirect(&second.listener).await.is_some());
 }
--- a/src/bin/hollowpaddle/upstreams.rs
+++ b/src/bin/hollowpaddle/upstreams.rs
@@ -26,7 +26,10 @@
 use tokio::net::TcpSocket;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-use crate::bodies::{CONNECTION_BUFFER_BYTES, BodyProgress, MAX_BUFFERED_BYTES, BodyMemory, UpstreamRequestBody, Payload, UpstreamResponse};
+use crate::bodies::{
+    BodyMemory, BodyProgress, CONNECTION_BUFFER_BYTES, MAX_BUFFERED_BYTES, Payload,
+    UpstreamRequestBody, UpstreamResponse,
+};
 use crate::config::Config;
 use crate::guard::AttemptGuard;
 use crate::succession::SOCKET_BUFFER_BYTES;
@@ -121,7 +124,12 @@
 
 impl Pool {
     /// Counts in these figures the attempts that were written whole, and the rules that they broke.
-    pub fn new(most: usize, config: &Config, figures: &Figures, memory: Rc<BodyMemory>) -> Rc<Self> {
+    pub fn new(
+        most: usize,
+        config: &Config,
+        figures: &Figures,
+        memory: Rc<BodyMemory>,
+    ) -> Rc<Self> {
         let limits = &config.facts.policy_limits;
         let ms = |ms: f64, default: f64| {
             let ms = if ms > 0.0 && ms < 1e7 { ms } else { default };
@@ -356,7 +364,8 @@
         let serves = outcome == Outcome::Ok;
         let length = body.size_hint().exact();
         let room = length.map_or(MAX_BUFFERED_BYTES, |n| usize::try_from(n).unwrap_or(usize::MAX));
-        let hold = (room <= MAX_BUFFERED_BYTES && serves).then(|| self.memory.reserve(room)).flatten();
+        let hold =
+            (room <= MAX_BUFFERED_BYTES && serves).then(|| self.memory.reserve(room)).flatten();
         let most = if hold.is_some() || !serves { MAX_BUFFERED_BYTES } else { 0 };
         let Ok((kept, whole)) = first_part(&mut body, most, length).await else {
             // Cut short: it ran, and there is nothing to pass on.
@@ -369,8 +378,8 @@
             let back = (self.clone(), server, link);
             Some(StreamedResponse::new(forward, body, kept.len(), length, back))
         };
-        let response =
-            serves.then(|| Box::new(Response::from_parts(head, UpstreamResponse { kept, rest, hold })));
+        let response = serves
+            .then(|| Box::new(Response::from_parts(head, UpstreamResponse { kept, rest, hold })));
         Ended { outcome, report, response, denial: None }
     }
 }
@@ -493,7 +502,8 @@
         let due = BodyProgress::default();
         let (from, of, all) = (written.bytes.get(), written.clone(), due.clone());
         let given = move || of.whole_at.set(Some(from + all.bytes.get()));
-        let mut request = Request::new(UpstreamRequestBody::new(&self.body, due.clone(), Box::new(given)));
+        let mut request =
+            Request::new(UpstreamRequestBody::new(&self.body, due.clone(), Box::new(given)));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
