--- a/src/bin/hollowpaddle/bodies.rs
+++ b/src/bin/hollowpaddle/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies on their way through: what is kept whole, and what is passed on as fast as the other side takes it.
+//! Request and response bodies: small ones are buffered completely, larger ones are streamed at the receiver's pace.
 
 use std::cell::{Cell, RefCell};
 use std::future::{Future, poll_fn};
@@ -15,66 +15,66 @@
 use crate::upstreams::StreamedResponse;
 use hollowpaddle::figures::{End, Taken};
 
-/// A body or an answer up to this size is kept whole; of a larger one, no more than its first part.
-pub const KEPT: usize = 64 << 10;
-/// The largest body of a request.
-pub const LARGEST: u64 = 32 << 20;
-/// What one connection buffers on the way, on either side.
-pub const BUFFER: usize = 32 << 10;
-/// Bytes a second that a client has to send of a body. Slow ones are owed 64 kB/s; the rest is for pieces that
-/// come unevenly.
-const LEAST_RATE: f64 = 48_000.0;
-/// Most of the time won by sending faster that may be used up in one wait.
-const LONGEST_WAIT: Duration = Duration::from_millis(2500);
-/// How long the rest of a body is still read after its request was answered, as long as it comes on.
-const DRAIN: Duration = Duration::from_secs(20);
-
-/// Why a body ended before its end.
+/// A request or response body up to this size is buffered completely; of a larger one, only its first part.
+pub const MAX_BUFFERED_BYTES: usize = 64 << 10;
+/// Maximum size of a request body; a larger one is answered 413.
+pub const MAX_REQUEST_BODY_BYTES: u64 = 32 << 20;
+/// Maximum read buffer of an upstream connection.
+pub const CONNECTION_BUFFER_BYTES: usize = 32 << 10;
+/// Minimum rate at which a client must send a body. Clients at 64 kB/s must be served; the lower limit allows for
+/// uneven arrival.
+const MIN_BYTES_PER_SECOND: f64 = 48_000.0;
+/// Upper limit of the waiting time that a client earns by sending faster than the minimum rate.
+const MAX_WAIT: Duration = Duration::from_millis(2500);
+/// How long the rest of a body is read after its request was answered, if it keeps the minimum rate.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// Why a body could not be read to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Broken {
-    #[error("it comes too slowly")]
+pub enum BodyError {
+    #[error("body arrives too slowly")]
     Slow,
-    #[error("it is too large")]
+    #[error("body is too large")]
     TooLarge,
-    #[error("it was cut off or is malformed")]
+    #[error("body is truncated or malformed")]
     Cut,
 }
 
-/// Memory that kept bodies may use, for the whole process. When it is used up, more is passed on and less is
-/// kept: that costs second attempts, not the process.
-pub struct Memory {
+/// The memory limit for buffered bodies of the whole process. When it is reached, bodies are streamed instead of
+/// buffered: that costs second attempts, but the process does not run out of memory.
+pub struct BodyMemory {
     most: usize,
     used: Cell<usize>,
 }
 
-/// A part of it, given back when dropped.
-pub struct Hold {
-    memory: Rc<Memory>,
+/// A reserved part of the body memory, released when dropped.
+pub struct MemoryReservation {
+    memory: Rc<BodyMemory>,
     bytes: usize,
 }
 
-impl Memory {
+impl BodyMemory {
     pub fn new(most: usize) -> Rc<Self> {
         Rc::new(Self { most, used: Cell::new(0) })
     }
 
-    pub fn hold(self: &Rc<Self>, bytes: usize) -> Option<Hold> {
+    pub fn reserve(self: &Rc<Self>, bytes: usize) -> Option<MemoryReservation> {
         let used = self.used.get() + bytes;
         (used <= self.most).then(|| {
             self.used.set(used);
-            Hold { memory: self.clone(), bytes }
+            MemoryReservation { memory: self.clone(), bytes }
         })
     }
 }
 
-impl Drop for Hold {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
         self.memory.used.set(self.memory.used.get() - self.bytes);
     }
 }
 
-/// How long a client may still keep us waiting for its body. Only time spent waiting for it counts: a body
-/// that is not read yet, since no upstream takes it, is not late.
+/// Enforces the minimum rate of a request body. Only time spent waiting for the client counts: a body that is not
+/// read because no upstream takes it is not late.
 struct Pace {
     left: Duration,
     since: Option<Instant>,
@@ -82,15 +82,15 @@
 }
 
 impl Pace {
-    fn came(&mut self, bytes: usize) {
+    fn record_received(&mut self, bytes: usize) {
         if let Some(since) = self.since.take() {
             self.left = self.left.saturating_sub(since.elapsed());
         }
-        let won = Duration::from_secs_f64(bytes as f64 / LEAST_RATE);
-        self.left = (self.left + won).min(LONGEST_WAIT);
+        let earned = Duration::from_secs_f64(bytes as f64 / MIN_BYTES_PER_SECOND);
+        self.left = (self.left + earned).min(MAX_WAIT);
     }
 
-    fn poll_late(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+    fn poll_expired(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         if self.since.is_none() {
             let now = Instant::now();
             self.since = Some(now);
@@ -100,19 +100,19 @@
     }
 }
 
-/// The body of a request, as its client sends it.
+/// The body of a request as received from its client.
 pub struct RequestBody {
     body: RefCell<Incoming>,
     pace: RefCell<Pace>,
     read: Cell<u64>,
-    ended: Cell<Option<Result<(), Broken>>>,
+    ended: Cell<Option<Result<(), BodyError>>>,
     changed: Notify,
-    /// Some of it went to an upstream and is not kept: it can't be sent a second time.
-    spent: Cell<bool>,
+    /// Part of it was passed to an upstream without being buffered, so that it cannot be sent again.
+    consumed: Cell<bool>,
 }
 
 impl RequestBody {
-    /// Its client may keep us waiting for so long before it sends any of it.
+    /// The client has `patience` to send the first bytes.
     pub fn new(body: Incoming, patience: Duration) -> Rc<Self> {
         let timer = Box::pin(sleep(patience));
         Rc::new(Self {
@@ -121,17 +121,17 @@
             pace: RefCell::new(Pace { left: patience, since: None, timer }),
             read: Cell::new(0),
             changed: Notify::new(),
-            spent: Cell::new(false),
+            consumed: Cell::new(false),
         })
     }
 
-    fn end(&self, how: Result<(), Broken>) {
+    fn end(&self, how: Result<(), BodyError>) {
         self.ended.set(Some(how));
         self.changed.notify_waiters();
     }
 
-    /// The next piece; `None` at its end.
-    fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
+    /// The next chunk; `None` at the end of the body.
+    fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         if let Some(how) = self.ended.get() {
             return Poll::Ready(how.err().map(Err));
         }
@@ -140,24 +140,28 @@
             match Pin::new(&mut *body).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => match frame.into_data() {
                     Ok(data) => break Ok(data),
-                    // Trailers concern nobody here.
+                    // Trailers are ignored.
                     Err(_) => continue,
                 },
-                Poll::Ready(Some(Err(_))) => break Err(Broken::Cut),
+                Poll::Ready(Some(Err(_))) => break Err(BodyError::Cut),
                 Poll::Ready(None) => {
                     self.end(Ok(()));
                     return Poll::Ready(None);
                 }
                 Poll::Pending => {
-                    ready!(self.pace.borrow_mut().poll_late(cx));
-                    break Err(Broken::Slow);
+                    ready!(self.pace.borrow_mut().poll_expired(cx));
+                    break Err(BodyError::Slow);
                 }
             }
         };
         let next = next.and_then(|data| {
-            self.pace.borrow_mut().came(data.len());
+            self.pace.borrow_mut().record_received(data.len());
             self.read.set(self.read.get() + data.len() as u64);
-            if self.read.get() > LARGEST { Err(Broken::TooLarge) } else { Ok(data) }
+            if self.read.get() > MAX_REQUEST_BODY_BYTES {
+                Err(BodyError::TooLarge)
+            } else {
+                Ok(data)
+            }
         });
         match next {
             Err(why) => self.end(Err(why)),
@@ -167,8 +171,8 @@
         Poll::Ready(Some(next))
     }
 
-    /// Reads it to its end, or until more than `most` was read.
-    pub async fn keep(&self, most: usize, declared: Option<u64>) -> Result<Bytes, Broken> {
+    /// Buffers the body to its end, or until more than `most` bytes were read.
+    pub async fn buffer(&self, most: usize, declared: Option<u64>) -> Result<Bytes, BodyError> {
         let room = declared.map_or(0, |n| usize::try_from(n).unwrap_or(most).min(most));
         let mut kept = BytesMut::with_capacity(room);
         while let Some(piece) = poll_fn(|cx| self.poll(cx)).await {
@@ -180,7 +184,7 @@
         Ok(kept.freeze())
     }
 
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.ended.get() == Some(Ok(()))
     }
 
@@ -188,17 +192,17 @@
         self.ended.get().is_none()
     }
 
-    pub fn is_spent(&self) -> bool {
-        self.spent.get()
+    pub fn is_consumed(&self) -> bool {
+        self.consumed.get()
     }
 
-    /// Whether its client keeps us waiting.
-    pub fn waits(&self) -> bool {
+    /// Whether the reader is waiting for the client to send more.
+    pub fn is_waiting_for_client(&self) -> bool {
         self.pace.borrow().since.is_some()
     }
 
-    /// Waits for its end, whatever that is; others read it meanwhile.
-    pub async fn ended(&self) -> Result<(), Broken> {
+    /// Waits until the body has ended or failed, without reading it; another task reads it.
+    pub async fn ended(&self) -> Result<(), BodyError> {
         loop {
             let changed = self.changed.notified();
             if let Some(how) = self.ended.get() {
@@ -208,83 +212,83 @@
         }
     }
 
-    /// Reads and forgets what still comes, for a while.
+    /// Reads and discards the rest of the body, for at most [`DRAIN_TIMEOUT`].
     pub async fn drain(&self) {
         let rest = async { while let Some(Ok(_)) = poll_fn(|cx| self.poll(cx)).await {} };
-        let _ = timeout(DRAIN, rest).await;
+        let _ = timeout(DRAIN_TIMEOUT, rest).await;
     }
 }
 
-/// What an attempt has to hand over for its request to be whole; the least that it can be.
+/// How many bytes an attempt must send for its request to be complete; a lower bound while the body is streamed.
 #[derive(Clone, Default)]
-pub struct Due {
+pub struct BodyProgress {
     pub bytes: Rc<Cell<u64>>,
-    /// Whether that is all, or more of the body may come.
+    /// Whether `bytes` is final; otherwise more of the body may follow.
     pub all: Rc<Cell<bool>>,
 }
 
-/// The body of one attempt at an upstream.
-pub struct Outgoing {
+/// The request body of one attempt.
+pub struct UpstreamRequestBody {
     kept: Bytes,
     rest: Option<Rc<RequestBody>>,
-    /// Where the whole body's size is known from the start, what is left of it.
+    /// The number of bytes left to send, if the complete body's size is known.
     left: Option<u64>,
-    due: Due,
-    /// Told once the last byte was given.
-    all_given: Box<dyn Fn()>,
+    due: BodyProgress,
+    /// Called once the last byte of a streamed body was handed to hyper.
+    on_complete: Box<dyn Fn()>,
 }
 
-impl Outgoing {
-    pub fn new(payload: &Payload, due: Due, all_given: Box<dyn Fn()>) -> Self {
+impl UpstreamRequestBody {
+    pub fn new(payload: &Payload, due: BodyProgress, on_complete: Box<dyn Fn()>) -> Self {
         due.bytes.set(due.bytes.get() + payload.kept.len() as u64);
         due.all.set(payload.rest.is_none());
         let left =
             if payload.rest.is_some() { payload.length } else { Some(payload.kept.len() as u64) };
-        Self { kept: payload.kept.clone(), rest: payload.rest.clone(), left, due, all_given }
+        Self { kept: payload.kept.clone(), rest: payload.rest.clone(), left, due, on_complete }
     }
 
-    fn give(&mut self, data: Bytes) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    fn emit(&mut self, data: Bytes) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         if let Some(left) = &mut self.left {
             *left = left.saturating_sub(data.len() as u64);
         }
         Poll::Ready(Some(Ok(Frame::data(data))))
     }
 
-    fn all(&self) {
+    fn mark_complete(&self) {
         if !self.due.all.replace(true) {
-            (self.all_given)();
+            (self.on_complete)();
         }
     }
 }
 
-impl Body for Outgoing {
+impl Body for UpstreamRequestBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         if !self.kept.is_empty() {
             let kept = std::mem::take(&mut self.kept);
-            return self.give(kept);
+            return self.emit(kept);
         }
         let Some(rest) = self.rest.clone() else { return Poll::Ready(None) };
         let piece = ready!(rest.poll(cx));
-        rest.spent.set(true);
+        rest.consumed.set(true);
         match piece {
             None => {
-                self.all();
+                self.mark_complete();
                 Poll::Ready(None)
             }
             Some(Err(why)) => Poll::Ready(Some(Err(why))),
             Some(Ok(data)) => {
                 self.due.bytes.set(self.due.bytes.get() + data.len() as u64);
-                // With a known size nobody asks for the end that follows.
-                if rest.is_whole() {
-                    self.all();
+                // With a known size hyper does not poll again for the end of the body.
+                if rest.is_complete() {
+                    self.mark_complete();
                 }
-                self.give(data)
+                self.emit(data)
             }
         }
     }
@@ -298,57 +302,56 @@
     }
 }
 
-/// The body of a request, the same for each of its attempts.
+/// The body of a request, shared by its attempts.
 #[derive(Default)]
 pub struct Payload {
-    /// All of it, or its first part.
+    /// The buffered part: the complete body, or its beginning.
     pub kept: Bytes,
-    /// Where more follows.
+    /// The part that is streamed, if any.
     pub rest: Option<Rc<RequestBody>>,
-    /// Its whole size, if the client said so.
+    /// The size of the complete body, if known.
     pub length: Option<u64>,
-    pub _hold: Option<Hold>,
+    pub _hold: Option<MemoryReservation>,
 }
 
 impl Payload {
-    /// Whether it can't be sent another time.
-    pub fn is_spent(&self) -> bool {
-        self.rest.as_ref().is_some_and(|r| r.is_spent())
+    /// Whether part of it was streamed, so that another attempt cannot send it.
+    pub fn is_consumed(&self) -> bool {
+        self.rest.as_ref().is_some_and(|r| r.is_consumed())
     }
 }
 
-/// An answer from an upstream: whole, or its first part and where the rest comes from.
-pub struct Served {
+/// The body of an upstream's response: complete, or its buffered beginning and the stream of the rest.
+pub struct UpstreamResponse {
     pub kept: Bytes,
     pub rest: Option<StreamedResponse>,
-    pub hold: Option<Hold>,
+    pub hold: Option<MemoryReservation>,
 }
 
-/// The body of an answer to a client, and with it the request's place in the figures and on its connection.
+/// The body of a response to a client. Holds the request's metrics guard and the connection's in-flight guard.
 #[derive(Default)]
-pub struct AnswerBody {
+pub struct ResponseBody {
     kept: Bytes,
     rest: Option<StreamedResponse>,
     taken: Option<Taken>,
-    _hold: Option<Hold>,
-    _done: Option<Done>,
+    _hold: Option<MemoryReservation>,
+    _guard: Option<CompletionGuard>,
 }
 
-/// Dropped when an answer is done with.
-pub type Done = Rc<dyn std::any::Any>;
+/// Dropped when a response body was sent or abandoned.
+pub type CompletionGuard = Rc<dyn std::any::Any>;
 
-impl AnswerBody {
-    pub fn whole(kept: Bytes) -> Self {
+impl ResponseBody {
+    pub fn complete(kept: Bytes) -> Self {
         Self { kept, ..Self::default() }
     }
 
-    pub fn served(served: Served) -> Self {
+    pub fn from_upstream(served: UpstreamResponse) -> Self {
         Self { kept: served.kept, rest: served.rest, _hold: served.hold, ..Self::default() }
     }
 
-    /// The request counts as ended once this body is done with: as `end`, or, where the rest is still to come,
-    /// by what becomes of it.
-    pub fn of(mut self, taken: Taken, end: End) -> Self {
+    /// Counts the request in the metrics: as `end`, or, if the body is streamed, by whether the stream completes.
+    pub fn counted_as(mut self, taken: Taken, end: End) -> Self {
         if self.rest.is_none() {
             taken.ends(end);
         }
@@ -356,9 +359,9 @@
         self
     }
 
-    /// Keeps this until the body is done with.
-    pub fn holding(mut self, done: Done) -> Self {
-        self._done = Some(done);
+    /// Holds `done` until the body is dropped.
+    pub fn with_guard(mut self, done: CompletionGuard) -> Self {
+        self._guard = Some(done);
         self
     }
 
@@ -369,14 +372,14 @@
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         if !self.kept.is_empty() {
             let kept = std::mem::take(&mut self.kept);
             return Poll::Ready(Some(Ok(Frame::data(kept))));
--- a/src/bin/hollowpaddle/engine.rs
+++ b/src/bin/hollowpaddle/engine.rs
@@ -421,7 +421,7 @@
         let now = Instant::now();
         let room = headroom(client_deadline, now);
         let policy_deadline = client_deadline - room;
-        let complete = forward.body.rest.as_ref().is_none_or(|r| r.is_whole());
+        let complete = forward.body.rest.as_ref().is_none_or(|r| r.is_complete());
         let time_after_body = (!complete).then(|| arrival.until.saturating_duration_since(now));
         let service = arrival.service;
         let pending = PendingRequest {
@@ -556,7 +556,7 @@
         let pending = self.requests.get(&id);
         let service = pending.map(|r| r.service);
         let over = pending.is_none_or(|r| r.reply.is_none());
-        let spent = pending.is_some_and(|r| r.forward.body.is_spent());
+        let spent = pending.is_some_and(|r| r.forward.body.is_consumed());
         let answer = d::Answer {
             report: result.report,
             spent,
@@ -675,7 +675,7 @@
         let target = self.upstreams.target(server);
         let mut record = Attempt { server, sent_at: now, task: None };
         let over = pending.reply.is_none() || attempt >= self.max_attempts || now >= until;
-        let over = over || pending.forward.body.is_spent();
+        let over = over || pending.forward.body.is_consumed();
         let (Some(target), false) = (target, over || disallowed_copy) else {
             pending.attempts.push(record);
             self.deferred_ends.push_back((
--- a/src/bin/hollowpaddle/guard.rs
+++ b/src/bin/hollowpaddle/guard.rs
@@ -141,7 +141,7 @@
     /// By how much the deadline sent to the upstream exceeds the client's remaining time. Zero while the request
     /// body is incomplete, because the client's time starts at its last byte.
     fn deadline_excess(&self, now: Instant) -> Duration {
-        let coming = self.forward.body.rest.as_ref().is_some_and(|rest| !rest.is_whole());
+        let coming = self.forward.body.rest.as_ref().is_some_and(|rest| !rest.is_complete());
         let Some(sent_deadline) = self.sent_deadline.get().filter(|_| !coming) else {
             return Duration::ZERO;
         };
--- a/src/bin/hollowpaddle/main.rs
+++ b/src/bin/hollowpaddle/main.rs
@@ -1,7 +1,7 @@
-//! One balancer on real sockets: clients in front, upstreams behind, every decision in the module.
+//! The load balancer process, and the entry point of the program's other roles.
 //!
-//! Everything runs on one thread. The tasks that do I/O tell the [`engine`] what happened and carry out
-//! what it says; only the engine touches the module.
+//! The proxy runs on one thread. I/O tasks report events to the [`engine`] and carry out its actions; the policy
+//! (decision module) makes all decisions and is called by the engine alone.
 #![forbid(unsafe_code)]
 
 mod bodies;
@@ -26,24 +26,24 @@
 use hollowpaddle::figures::Figures;
 use hollowpaddle::release::plan::Plan;
 use hollowpaddle::roles::{self, RoleError};
-use hollowpaddle::signals::{Kind, Signals};
+use hollowpaddle::signals::{SignalKind, Signals};
 
 use tokio::task::LocalSet;
 
-use bodies::Memory;
-use clients::Front;
-use config::{Anew, Config};
+use bodies::BodyMemory;
+use clients::ClientServer;
+use config::{Config, ReloadedConfig};
 use engine::{Engine, Handle};
 use lifecycle::Lifecycle;
 use management::Management;
 use succession::{ProcessRegistration, listen};
 use upstreams::Pool;
 
-/// Bodies that are kept whole may use this part of the memory; buffers on the way and a second process beside
-/// this one need the rest.
-const KEPT_OF_MEMORY: usize = 4;
+/// Buffered bodies may use the memory limit divided by this; stream buffers and a second process during a takeover
+/// need the rest.
+const BUFFERED_BODY_MEMORY_DIVISOR: usize = 4;
 
-/// How the program ended other than well: a refused configuration, or a failure once it ran.
+/// Why the program failed: an invalid configuration, or an error at run time.
 enum Failure {
     Config(String),
     Role(RoleError),
@@ -86,7 +86,7 @@
     ExitCode::from(code)
 }
 
-/// `check`: reads the file as its role would, or the state directory, and says what it found.
+/// `check`: reads the configuration file as its role would, or the state directory, and prints the result.
 fn check(args: &CheckArgs) -> Result<(), Failure> {
     if let Some(dir) = &args.state_dir {
         let found = roles::check_state(args.role, dir).map_err(Failure::Config)?;
@@ -111,8 +111,8 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| Failure::Run(format!("runtime: {e}")))?;
     LocalSet::new().block_on(&runtime, async {
-        // Before the file is read, which may be long: unhandled, the signal ends the program.
-        let hangup = Signals::of(Kind::Hangup);
+        // Registered before the file is read, which may take long: an unhandled SIGHUP ends the program.
+        let hangup = Signals::of(SignalKind::Hangup);
         let hangup = hangup.map_err(|e| Failure::Run(format!("SIGHUP: {e}")))?;
         let config = Config::from_env().map_err(|e| Failure::Config(e.to_string()))?;
         run(config, hangup).await.map_err(Failure::Run)
@@ -120,10 +120,10 @@
 }
 
 async fn run(config: Config, hangup: Signals) -> Result<(), String> {
-    let mut term = Signals::of(Kind::Terminate).map_err(|e| format!("SIGTERM: {e}"))?;
+    let mut term = Signals::of(SignalKind::Terminate).map_err(|e| format!("SIGTERM: {e}"))?;
     let open = |address| listen(address).map_err(|e| format!("listen on {address}: {e}"));
     let listener = open(config.listen)?;
-    let calls = config.management.map(open).transpose()?;
+    let management_listener = config.management.map(open).transpose()?;
     let budget = config.budget();
     let figures = Figures::new(config.management.is_some());
     for (service, classes) in engine::service_classes(&config.catalog) {
@@ -131,47 +131,51 @@
     }
     let keeper = config.state_dir.as_deref().map(ListCache::open).transpose();
     let keeper = keeper.map_err(|e| format!("state_dir: {e}"))?;
-    let memory = Memory::new(config.memory / KEPT_OF_MEMORY);
+    let memory = BodyMemory::new(config.memory / BUFFERED_BODY_MEMORY_DIVISOR);
     let pool = Pool::new(budget.upstreams, &config, &figures, memory.clone());
     let (engine, handle) = Engine::new(&config, pool, figures.clone(), keeper)
         .map_err(|e| format!("settings: {e}"))?;
     let engine = tokio::task::spawn_local(engine.run());
     tokio::task::spawn_local(reconfigure(hangup, handle.clone()));
     let lifecycle = Rc::new(Lifecycle::new());
-    if let Some(calls) = calls {
-        let at = calls.local_addr().map_err(|e| format!("management address: {e}"))?;
+    if let Some(management_listener) = management_listener {
+        let at =
+            management_listener.local_addr().map_err(|e| format!("management address: {e}"))?;
         tracing::info!("operators call at {at}");
         let management = Management::new(handle.clone(), lifecycle.clone(), figures.clone());
-        tokio::task::spawn_local(management.serve(calls));
+        tokio::task::spawn_local(management.serve(management_listener));
     }
-    // The bound address, not the wanted one: with port 0 it is the only word of where clients connect.
+    // Logs the bound address rather than the configured one, which may have port 0.
     let bound = listener.local_addr().map_err(|e| format!("listen on {}: {e}", config.listen))?;
     tracing::info!(name = config.name, "listening on {bound}");
-    let front = Rc::new(Front::new(handle, lifecycle, figures, memory, budget.clients));
-    let registration = ProcessRegistration::leave(bound, &listener);
-    let serve = front.serve(listener, registration, async move {
+    let server = Rc::new(ClientServer::new(handle, lifecycle, figures, memory, budget.clients));
+    let registration = ProcessRegistration::register(bound, &listener);
+    let serve = server.serve(listener, registration, async move {
         if let Err(cause) = term.recv().await {
-            tracing::error!(%cause, "SIGTERM is not heard any more");
+            tracing::error!(%cause, "cannot receive SIGTERM any more");
         }
     });
     tokio::select! {
         () = serve => Ok(()),
-        // Without it nothing is ever answered well again; a restart is better.
-        _ = engine => Err("the engine ended".to_string()),
+        // Without the engine no request can be served; the process exits to be restarted.
+        _ = engine => Err("the engine stopped unexpectedly".to_string()),
     }
 }
 
-/// On SIGHUP the file may name another address of discovery, and other services and routes. Failure: unhandled, the signal ended the program.
+/// On SIGHUP, reads the addresses of discovery, the services and the routes from the file again. An unhandled SIGHUP
+/// would end the program.
 async fn reconfigure(mut hangup: Signals, engine: Handle) {
     while hangup.recv().await.is_ok() {
-        match Config::anew() {
-            Ok(Anew { discovery, catalog }) => {
-                tracing::info!(addresses = ?discovery, "discovery has moved");
+        match Config::reload() {
+            Ok(ReloadedConfig { discovery, catalog }) => {
+                tracing::info!(addresses = ?discovery, "discovery addresses reloaded");
                 engine.discovery_moved(discovery);
                 engine.reload(catalog);
             }
-            // What was in force still serves; a balancer that ends on a bad file would not.
-            Err(cause) => tracing::warn!(%cause, "the new configuration is left aside"),
+            // The current configuration stays in force; exiting on an invalid file would interrupt service.
+            Err(cause) => {
+                tracing::warn!(%cause, "cannot reload the configuration; keeping the current one")
+            }
         }
     }
 }
--- a/src/bin/hollowpaddle/upstreams.rs
+++ b/src/bin/hollowpaddle/upstreams.rs
@@ -26,10 +26,13 @@
 use tokio::net::TcpSocket;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-use crate::bodies::{BUFFER, Due, KEPT, Memory, Outgoing, Payload, Served};
+use crate::bodies::{
+    BodyMemory, BodyProgress, CONNECTION_BUFFER_BYTES, MAX_BUFFERED_BYTES, Payload,
+    UpstreamRequestBody, UpstreamResponse,
+};
 use crate::config::Config;
 use crate::guard::AttemptGuard;
-use crate::succession::SOCKET_BUFFER;
+use crate::succession::SOCKET_BUFFER_BYTES;
 use connection::{CountedIo, OpenConnectionGuard, UpstreamConnection, Written};
 use hollowpaddle::socket::{Peer, Socket, Unread};
 pub use streamed_response::StreamedResponse;
@@ -79,7 +82,7 @@
     pub outcome: Outcome,
     pub report: Report,
     /// The response to forward, if the outcome is `Ok`.
-    pub response: Option<Box<Response<Served>>>,
+    pub response: Option<Box<Response<UpstreamResponse>>>,
     /// Why the guard did not let the attempt start.
     pub denial: Option<Denial>,
 }
@@ -116,7 +119,7 @@
     fields: Vec<(String, Field)>,
     attempts_sent: Counter,
     violations: Violations,
-    memory: Rc<Memory>,
+    memory: Rc<BodyMemory>,
 }
 
 impl Pool {
@@ -126,7 +129,7 @@
         max_connections: usize,
         config: &Config,
         figures: &Figures,
-        memory: Rc<Memory>,
+        memory: Rc<BodyMemory>,
     ) -> Rc<Self> {
         let limits = &config.facts.policy_limits;
         let ms = |ms: f64, default: f64| {
@@ -242,8 +245,8 @@
         let open = OpenConnectionGuard::new(&self.open_count);
         let socket =
             if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }.ok()?;
-        socket.set_send_buffer_size(SOCKET_BUFFER).ok()?;
-        socket.set_recv_buffer_size(SOCKET_BUFFER).ok()?;
+        socket.set_send_buffer_size(SOCKET_BUFFER_BYTES).ok()?;
+        socket.set_recv_buffer_size(SOCKET_BUFFER_BYTES).ok()?;
         let stream = timeout(self.connect_timeout, socket.connect(address)).await.ok()?.ok()?;
         stream.set_nodelay(true).ok()?;
         let (attempts_sent, violations) = (self.attempts_sent.clone(), self.violations.clone());
@@ -252,7 +255,7 @@
         let peer = socket.peer();
         let io = CountedIo { inner: TokioIo::new(socket), written: written.clone() };
         let (sender, connection) =
-            http1::Builder::new().max_buf_size(BUFFER).handshake(io).await.ok()?;
+            http1::Builder::new().max_buf_size(CONNECTION_BUFFER_BYTES).handshake(io).await.ok()?;
         let pool = Rc::downgrade(self);
         let task = tokio::task::spawn_local(async move {
             let _open = open;
@@ -338,7 +341,7 @@
             let Some(request) = forward.request(until, progress, &connection.written, guard) else {
                 return AttemptResult::without_response(Outcome::NotSent);
             };
-            let can_resend = || reused && progress.nothing_written() && !forward.body.is_spent();
+            let can_resend = || reused && progress.nothing_written() && !forward.body.is_consumed();
             let answer = connection.sender.send_request(request).await;
             match guard.denial() {
                 None => {}
@@ -380,9 +383,10 @@
         // The body of an unsuccessful response is not forwarded.
         let serves = outcome == Outcome::Ok;
         let length = body.size_hint().exact();
-        let room = length.map_or(KEPT, |n| usize::try_from(n).unwrap_or(usize::MAX));
-        let hold = (room <= KEPT && serves).then(|| self.memory.hold(room)).flatten();
-        let most = if hold.is_some() || !serves { KEPT } else { 0 };
+        let room = length.map_or(MAX_BUFFERED_BYTES, |n| usize::try_from(n).unwrap_or(usize::MAX));
+        let hold =
+            (room <= MAX_BUFFERED_BYTES && serves).then(|| self.memory.reserve(room)).flatten();
+        let most = if hold.is_some() || !serves { MAX_BUFFERED_BYTES } else { 0 };
         let Ok((kept, complete)) = first_part(&mut body, most, length).await else {
             // The response was cut short: the request ran, and there is nothing to forward.
             return AttemptResult { report, ..AttemptResult::without_response(Outcome::Reset) };
@@ -394,8 +398,8 @@
             let return_to = (self.clone(), server, connection);
             Some(StreamedResponse::new(forward, body, kept.len(), length, return_to))
         };
-        let response =
-            serves.then(|| Box::new(Response::from_parts(head, Served { kept, rest, hold })));
+        let response = serves
+            .then(|| Box::new(Response::from_parts(head, UpstreamResponse { kept, rest, hold })));
         AttemptResult { outcome, report, response, denial: None }
     }
 }
@@ -448,7 +452,7 @@
         let (mut seen, mut since) = (progress.bytes(), Instant::now());
         while since.elapsed() < STALL_TIMEOUT {
             sleep(STALL_CHECK_INTERVAL).await;
-            if rest.waits() || progress.bytes() != seen {
+            if rest.is_waiting_for_client() || progress.bytes() != seen {
                 (seen, since) = (progress.bytes(), Instant::now());
             }
         }
@@ -483,11 +487,11 @@
 #[derive(Default)]
 struct SendProgress {
     written: RefCell<Option<(Written, u64)>>,
-    due: RefCell<Due>,
+    due: RefCell<BodyProgress>,
 }
 
 impl SendProgress {
-    fn start(&self, written: &Written, due: Due) {
+    fn start(&self, written: &Written, due: BodyProgress) {
         let from = written.bytes.get();
         // For an incomplete body, `complete_at` is set once its last byte was handed over.
         written.complete_at.set(due.all.get().then(|| from + due.bytes.get()));
@@ -514,11 +518,12 @@
         progress: &SendProgress,
         written: &Written,
         guard: &Rc<AttemptGuard>,
-    ) -> Option<Request<Outgoing>> {
-        let due = Due::default();
+    ) -> Option<Request<UpstreamRequestBody>> {
+        let due = BodyProgress::default();
         let (from, of, all) = (written.bytes.get(), written.clone(), due.clone());
         let given = move || of.complete_at.set(Some(from + all.bytes.get()));
-        let mut request = Request::new(Outgoing::new(&self.body, due.clone(), Box::new(given)));
+        let mut request =
+            Request::new(UpstreamRequestBody::new(&self.body, due.clone(), Box::new(given)));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
--- a/src/bin/hollowpaddle/upstreams/connection.rs
+++ b/src/bin/hollowpaddle/upstreams/connection.rs
@@ -16,7 +16,7 @@
 use prometheus_client::metrics::counter::Counter;
 use tokio::time::Instant;
 
-use crate::bodies::Outgoing;
+use crate::bodies::UpstreamRequestBody;
 use crate::guard::AttemptGuard;
 
 /// Counts the bytes handed to the kernel on a connection. A request that was not handed over cannot have run.
@@ -119,7 +119,7 @@
 
 /// A connection that is idle or in use by one attempt.
 pub(super) struct UpstreamConnection {
-    pub(super) sender: SendRequest<Outgoing>,
+    pub(super) sender: SendRequest<UpstreamRequestBody>,
     pub(super) written: Written,
     pub(super) peer: Peer,
     pub(super) address: SocketAddr,
--- a/src/bin/hollowpaddle/upstreams/streamed_response.rs
+++ b/src/bin/hollowpaddle/upstreams/streamed_response.rs
@@ -12,7 +12,7 @@
 
 use super::connection::UpstreamConnection;
 use super::{Forward, Pool, STALL_TIMEOUT};
-use crate::bodies::{Broken, KEPT};
+use crate::bodies::{BodyError, MAX_BUFFERED_BYTES};
 
 /// A response that may be small has to end at the latest this long after the client's deadline (STANDING: half a
 /// second).
@@ -64,7 +64,7 @@
     /// only a stall ends it; any other has to end, or be reported as cut off, soon after the client's deadline.
     fn next_piece_deadline(&self, now: Instant) -> Instant {
         let stalled = now + STALL_TIMEOUT;
-        if self.size > KEPT as u64 {
+        if self.size > MAX_BUFFERED_BYTES as u64 {
             return stalled;
         }
         let pace = if self.size_known { 0.0 } else { self.size as f64 / LARGE_RATE_BYTES_PER_S };
@@ -89,7 +89,7 @@
     }
 
     /// The next piece; `None` at the end.
-    pub fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
+    pub fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         loop {
             match Pin::new(&mut self.body).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
@@ -106,7 +106,7 @@
                 }
                 Poll::Ready(Some(Err(cause))) => {
                     tracing::info!(request = self.request, %cause, "upstream response was cut off while being forwarded");
-                    return Poll::Ready(Some(Err(Broken::Cut)));
+                    return Poll::Ready(Some(Err(BodyError::Cut)));
                 }
                 Poll::Ready(None) => {
                     self.end();
@@ -124,7 +124,7 @@
                         request = self.request,
                         "upstream response timed out while being forwarded"
                     );
-                    return Poll::Ready(Some(Err(Broken::Slow)));
+                    return Poll::Ready(Some(Err(BodyError::Slow)));
                 }
             }
         }
