--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -206,8 +206,8 @@
         // Trials run on one own upstream at a time, or on half of them while nothing is known of the next
         // level.
         // Failure: with six cores and trials on one upstream at a time, a quarter of the requests was refused
-        // in the first minute of a day with low load. Upstreams that are not this proxy's own are excluded, as
-        // the trials of several proxies would overlap there.
+        // in the first minute of a day with low load. Only own upstreams, as trials of several proxies would
+        // overlap elsewhere.
         self.servers.iter_mut().for_each(|s| s.trial = 0);
         let own = |&i: &usize| {
             self.servers[i].distance <= OWN_DISTANCE
