--- a/benches/balancer.rs
+++ b/benches/balancer.rs
@@ -314,7 +314,7 @@
         cost.push((spent - quiet * took) * 1e3 / SCRAPES as f64);
         size.push(text.len() as f64);
         let from = Instant::now();
-        let counts = hollowpaddle::release::figures::read(&text).map_or(0, |c| c.len());
+        let counts = hollowpaddle::release::figures::parse_metrics(&text).map_or(0, |c| c.len());
         taken.push(from.elapsed().as_secs_f64() * 1e3);
         println!("{} members: {counts} counts in a scrape", bench.n);
     }
--- a/src/bin/hollowpaddle-benchlink/instance.rs
+++ b/src/bin/hollowpaddle-benchlink/instance.rs
@@ -18,8 +18,8 @@
 /// A request that may still be named on the wire.
 struct Job {
     name: Box<str>,
-    out: usize,
-    over: bool,
+    outstanding: usize,
+    finished: bool,
 }
 
 pub struct Instance {
@@ -27,11 +27,11 @@
     balancer: Balancer,
     classes: usize,
     /// Whether clients on this wire are given retry advice.
-    advise: bool,
+    send_retry_after: bool,
     fields: Vec<Field>,
     servers: FxHashMap<Box<str>, ServerId>,
     server_names: Vec<Box<str>>,
-    by_name: FxHashMap<Box<str>, u64>,
+    handles_by_name: FxHashMap<Box<str>, u64>,
     jobs: FxHashMap<u64, Job>,
     next_job: u64,
     actions: Vec<Action>,
@@ -45,11 +45,11 @@
             who: init.who,
             balancer: Balancer::new(facts.settings(), init.entropy, now)?,
             classes: facts.classes.len(),
-            advise: facts.policy_limits.retry_after,
+            send_retry_after: facts.policy_limits.retry_after,
             fields: facts.stats.names.iter().map(|name| Field::named(name)).collect(),
             servers: FxHashMap::default(),
             server_names: Vec::new(),
-            by_name: FxHashMap::default(),
+            handles_by_name: FxHashMap::default(),
             jobs: FxHashMap::default(),
             next_job: 0,
             actions: Vec::new(),
@@ -74,10 +74,10 @@
             coming: false,
         };
         let name: Box<str> = m.job.as_ref().into();
-        self.by_name.insert(name.clone(), self.next_job);
-        self.jobs.insert(self.next_job, Job { name, out: 0, over: false });
+        self.handles_by_name.insert(name.clone(), self.next_job);
+        self.jobs.insert(self.next_job, Job { name, outstanding: 0, finished: false });
         self.next_job += 1;
-        self.tell(now, Event::Request(request), out);
+        self.handle_event(now, Event::Request(request), out);
         Ok(())
     }
 
@@ -89,7 +89,7 @@
     ) -> Result<(), String> {
         let outcome = outcome(m.rc)?;
         let (Some(&handle), Some(&server)) =
-            (self.by_name.get(m.job.as_ref()), self.servers.get(m.upstream.as_ref()))
+            (self.handles_by_name.get(m.job.as_ref()), self.servers.get(m.upstream.as_ref()))
         else {
             return Ok(());
         };
@@ -105,36 +105,36 @@
         };
         self.balancer.handle(now, Event::Answered(answer), &mut self.actions);
         if let Some(job) = self.jobs.get_mut(&handle) {
-            job.out = job.out.saturating_sub(1);
-            job.over |= m.last;
+            job.outstanding = job.outstanding.saturating_sub(1);
+            job.finished |= m.last;
         }
-        self.flush(out);
-        self.forget(handle);
+        self.write_actions(out);
+        self.remove_if_finished(handle);
         Ok(())
     }
 
     pub fn left(&mut self, now: Time, job: &str, out: &mut Vec<u8>) {
-        let Some(&handle) = self.by_name.get(job) else { return };
+        let Some(&handle) = self.handles_by_name.get(job) else { return };
         self.balancer.handle(now, Event::Left(RequestId(handle)), &mut self.actions);
-        self.jobs.entry(handle).and_modify(|j| j.over = true);
-        self.flush(out);
-        self.forget(handle);
+        self.jobs.entry(handle).and_modify(|j| j.finished = true);
+        self.write_actions(out);
+        self.remove_if_finished(handle);
     }
 
     pub fn established(&mut self, now: Time, job: &str, out: &mut Vec<u8>) {
-        let Some(&handle) = self.by_name.get(job) else { return };
-        self.tell(now, Event::Started(RequestId(handle)), out);
+        let Some(&handle) = self.handles_by_name.get(job) else { return };
+        self.handle_event(now, Event::Started(RequestId(handle)), out);
     }
 
     pub fn timer(&mut self, now: Time, token: u64, out: &mut Vec<u8>) {
-        self.tell(now, Event::Timer(token), out);
+        self.handle_event(now, Event::Timer(token), out);
     }
 
     pub fn sampled(&mut self, now: Time, m: &wire::Sampled, out: &mut Vec<u8>) {
         let Some(&server) = self.servers.get(m.upstream.as_ref()) else { return };
         let (ok, latency) = (m.rc == 200, span(m.latency));
         let report = self.report(m.metrics.as_ref());
-        self.tell(now, Event::Probed { server, ok, latency, report }, out);
+        self.handle_event(now, Event::Probed { server, ok, latency, report }, out);
     }
 
     pub fn membership(&mut self, now: Time, m: &wire::Membership, out: &mut Vec<u8>) {
@@ -147,7 +147,7 @@
             wire::ListKind::Restored => d::ListKind::Restored,
             wire::ListKind::Unavailable => d::ListKind::Unavailable,
         };
-        self.tell(now, Event::Members { kind, list: &members }, out);
+        self.handle_event(now, Event::Members { kind, list: &members }, out);
         self.members = members;
     }
 
@@ -175,9 +175,9 @@
         }
     }
 
-    fn tell(&mut self, now: Time, event: Event, out: &mut Vec<u8>) {
+    fn handle_event(&mut self, now: Time, event: Event, out: &mut Vec<u8>) {
         self.balancer.handle(now, event, &mut self.actions);
-        self.flush(out);
+        self.write_actions(out);
     }
 
     fn report(&self, row: Option<&wire::Row>) -> Report {
@@ -189,30 +189,30 @@
     }
 
     /// Writes the module's actions in its order, each with a comma behind it.
-    fn flush(&mut self, out: &mut Vec<u8>) {
+    fn write_actions(&mut self, out: &mut Vec<u8>) {
         let who = self.who;
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             match action {
                 Action::Send { request, server, timeout, .. } => {
                     let Some(job) = self.jobs.get_mut(&request.0) else { continue };
-                    job.out += 1;
+                    job.outstanding += 1;
                     let upstream = &self.server_names[server.0 as usize];
                     let allow_for = ms(timeout.0);
                     write(out, &Command::Relay { who, job: &job.name, upstream, allow_for });
                 }
                 Action::Refuse { request, retry_after } => {
                     let Some(job) = self.jobs.get_mut(&request.0) else { continue };
-                    job.over = true;
-                    let cool_down = if self.advise { ms(retry_after.0) } else { 0.0 };
+                    job.finished = true;
+                    let cool_down = if self.send_retry_after { ms(retry_after.0) } else { 0.0 };
                     write(out, &Command::NotNow { who, job: &job.name, cool_down });
-                    self.forget(request.0);
+                    self.remove_if_finished(request.0);
                 }
                 Action::Fail { request } => {
                     let Some(job) = self.jobs.get_mut(&request.0) else { continue };
-                    job.over = true;
+                    job.finished = true;
                     write(out, &Command::FinishError { who, job: &job.name });
-                    self.forget(request.0);
+                    self.remove_if_finished(request.0);
                 }
                 Action::Cancel { request, attempt } => {
                     let Some(job) = self.jobs.get(&request.0) else { continue };
@@ -236,11 +236,11 @@
     }
 
     /// Drops the name of a request that is over and has nothing out.
-    fn forget(&mut self, handle: u64) {
-        if self.jobs.get(&handle).is_some_and(|j| j.over && j.out == 0)
+    fn remove_if_finished(&mut self, handle: u64) {
+        if self.jobs.get(&handle).is_some_and(|j| j.finished && j.outstanding == 0)
             && let Some(job) = self.jobs.remove(&handle)
         {
-            self.by_name.remove(&job.name);
+            self.handles_by_name.remove(&job.name);
         }
     }
 }
--- a/src/bin/hollowpaddle-benchlink/main.rs
+++ b/src/bin/hollowpaddle-benchlink/main.rs
@@ -76,8 +76,8 @@
 ) -> Result<(), Failure> {
     let _ = write!(reply, "{{\"batch\":{},\"cmds\":[", batch.batch);
     let empty = reply.len();
-    for (place, event) in batch.msgs.iter().enumerate() {
-        deliver(instances, batch.ts, event, reply).map_err(|e| format!("message {place}: {e}"))?;
+    for (index, event) in batch.msgs.iter().enumerate() {
+        deliver(instances, batch.ts, event, reply).map_err(|e| format!("message {index}: {e}"))?;
     }
     if reply.len() > empty {
         reply.pop();
@@ -95,9 +95,9 @@
     let now = instance::time(ts);
     let who = match event {
         Event::Init(m) => {
-            let made = Instance::new(now, m);
-            let made = made.map_err(|e| format!("field `Facts`: {e}"))?;
-            instances.insert(m.who, made);
+            let instance = Instance::new(now, m);
+            let instance = instance.map_err(|e| format!("field `Facts`: {e}"))?;
+            instances.insert(m.who, instance);
             return Ok(());
         }
         Event::Down(m) => {
--- a/src/release/balancers.rs
+++ b/src/release/balancers.rs
@@ -18,12 +18,12 @@
 use crate::calls::ask;
 
 /// How long a new process may take to be ready.
-const READY_WITHIN: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long an old one is waited for; it ends by itself even if that takes longer.
-const GONE_WITHIN: Duration = Duration::from_secs(15);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(15);
 /// How long one call may take, and how often it is made.
-const CALL: Duration = Duration::from_secs(1);
-const EVERY: Duration = Duration::from_millis(50);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The processes that this controller has started; they outlive it.
 #[derive(Debug, Default)]
@@ -37,15 +37,16 @@
 }
 
 /// Whether the process at this management address is ready, and its id; `None` where nobody answers.
-async fn health(at: SocketAddr) -> Option<(bool, Option<Pid>)> {
-    let (status, body) = ask(at, Method::GET, "/admin/health", "", CALL).await.ok()?;
-    let said: Value = serde_json::from_slice(&body).ok()?;
-    let pid = said["pid"].as_i64().and_then(|p| i32::try_from(p).ok()).and_then(Pid::from_raw);
+async fn health(management: SocketAddr) -> Option<(bool, Option<Pid>)> {
+    let (status, body) =
+        ask(management, Method::GET, "/admin/health", "", CALL_TIMEOUT).await.ok()?;
+    let health: Value = serde_json::from_slice(&body).ok()?;
+    let pid = health["pid"].as_i64().and_then(|p| i32::try_from(p).ok()).and_then(Pid::from_raw);
     Some((status == StatusCode::OK, pid))
 }
 
-fn start(name: &str, version: &Version, logs: &Path) -> Result<Child, String> {
-    let log = logs.join(format!("{name}.log"));
+fn start(name: &str, version: &Version, log_dir: &Path) -> Result<Child, String> {
+    let log = log_dir.join(format!("{name}.log"));
     let file = OpenOptions::new().create(true).append(true).open(&log);
     let file = file.map_err(|e| format!("{}: {e}", log.display()))?;
     Command::new(&version.program)
@@ -73,13 +74,13 @@
     name: &str,
     from: &Version,
     to: &Version,
-    logs: &Path,
+    log_dir: &Path,
     children: &mut Children,
 ) -> Result<(), String> {
     children.reap();
     if health(to.management).await.is_none() {
-        let mut child = start(name, to, logs)?;
-        let until = Instant::now() + READY_WITHIN;
+        let mut child = start(name, to, log_dir)?;
+        let deadline = Instant::now() + READY_TIMEOUT;
         loop {
             if matches!(health(to.management).await, Some((true, _))) {
                 break;
@@ -87,12 +88,12 @@
             if let Ok(Some(status)) = child.try_wait() {
                 return Err(format!("{name}: the new process ended before it was ready: {status}"));
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 let _ = child.kill();
                 let _ = child.wait();
-                return Err(format!("{name}: the new process was not ready in {READY_WITHIN:?}"));
+                return Err(format!("{name}: the new process was not ready in {READY_TIMEOUT:?}"));
             }
-            sleep(EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
         tracing::info!(name, pid = child.id(), "the new process is ready");
         children.0.push(child);
@@ -101,14 +102,14 @@
     let Some((_, pid)) = health(from.management).await else { return Ok(()) };
     let Some(pid) = pid else { return Err(format!("{name}: the old process tells no id")) };
     kill_process(pid, Signal::TERM).map_err(|e| format!("{name}: SIGTERM: {e}"))?;
-    let until = Instant::now() + GONE_WITHIN;
-    while Instant::now() < until {
+    let deadline = Instant::now() + EXIT_TIMEOUT;
+    while Instant::now() < deadline {
         children.reap();
         if health(from.management).await.is_none() {
             tracing::info!(name, "the old process has gone");
             return Ok(());
         }
-        sleep(EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
     tracing::warn!(name, "the old process still finishes what it has taken");
     Ok(())
--- a/src/release/control.rs
+++ b/src/release/control.rs
@@ -10,14 +10,14 @@
 use serde_json::{Value, json};
 use tokio::net::TcpListener;
 
-use super::controller::Word;
+use super::controller::OperatorCommand;
 use super::driver::{Release, status};
 use super::plan::Plan;
 use super::state;
 use crate::calls::{self, Call, LIMIT, Reply, ask, error, say};
 
 /// How long a call to the controller may take.
-const WITHIN: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Answers calls until the task is dropped.
 pub async fn serve(listener: TcpListener, release: Rc<Release>) {
@@ -33,30 +33,30 @@
 }
 
 fn answer(release: &Release, call: &Call) -> Reply {
-    let word = match call.path.as_str() {
+    let command = match call.path.as_str() {
         "/admin/release" => None,
-        "/admin/release/halt" => Some(Word::Halt),
-        "/admin/release/resume" => Some(Word::Resume),
-        "/admin/release/rollback" => Some(Word::Rollback),
+        "/admin/release/halt" => Some(OperatorCommand::Halt),
+        "/admin/release/resume" => Some(OperatorCommand::Resume),
+        "/admin/release/rollback" => Some(OperatorCommand::Rollback),
         _ => return error(StatusCode::NOT_FOUND, "no such call"),
     };
-    let method = if word.is_some() { Method::POST } else { Method::GET };
+    let method = if command.is_some() { Method::POST } else { Method::GET };
     if call.method != method {
         return error(StatusCode::METHOD_NOT_ALLOWED, "the method");
     }
-    match word.map_or(Ok(()), |word| release.told(word)) {
+    match command.map_or(Ok(()), |command| release.apply_command(command)) {
         Ok(()) => say(StatusCode::OK, &release.status()),
         Err(cause) => error(StatusCode::CONFLICT, cause),
     }
 }
 
 /// A status as lines for people: one for the release, one for each stage.
-pub fn lines(status: &Value) -> String {
+pub fn format_status(status: &Value) -> String {
     let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
     let mut lines = format!("{}: {}", text(&status["name"]), text(&status["step"]));
-    for (key, word) in [("why", "because"), ("held", "held")] {
+    for (key, label) in [("why", "because"), ("held", "held")] {
         if let Some(cause) = status[key].as_str() {
-            lines += &format!(" ({word}: {cause})");
+            lines += &format!(" ({label}: {cause})");
         }
     }
     lines.push('\n');
@@ -78,14 +78,14 @@
 ///
 /// # Errors
 /// What stands in the way of both.
-pub async fn look(plan: &Plan) -> Result<Value, String> {
+pub async fn fetch_status(plan: &Plan) -> Result<Value, String> {
     if let Ok((StatusCode::OK, body)) =
-        ask(plan.management, Method::GET, "/admin/release", "", WITHIN).await
+        ask(plan.management, Method::GET, "/admin/release", "", CALL_TIMEOUT).await
     {
         return serde_json::from_slice(&body).map_err(|e| e.to_string());
     }
-    let kept = state::read(&plan.state_dir, &plan.name).map_err(|e| e.to_string())?;
-    let mut status = status(plan, kept.as_ref());
+    let stored = state::read(&plan.state_dir, &plan.name).map_err(|e| e.to_string())?;
+    let mut status = status(plan, stored.as_ref());
     status["held"] = json!("no controller runs; this is what it kept");
     Ok(status)
 }
@@ -94,9 +94,9 @@
 ///
 /// # Errors
 /// Why it was not taken.
-pub async fn tell(plan: &Plan, word: &str) -> Result<Value, String> {
-    let path = format!("/admin/release/{word}");
-    let answer = ask(plan.management, Method::POST, &path, "", WITHIN).await;
+pub async fn send_command(plan: &Plan, command: &str) -> Result<Value, String> {
+    let path = format!("/admin/release/{command}");
+    let answer = ask(plan.management, Method::POST, &path, "", CALL_TIMEOUT).await;
     let (status, body) = answer.map_err(|e| format!("no controller runs: {e}"))?;
     let value: Value = serde_json::from_slice(&body).map_err(|e| e.to_string())?;
     match status {
--- a/src/release/controller.rs
+++ b/src/release/controller.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::gates::{Gates, Judgement, Observation, judge};
+use super::gates::{GateVerdict, Gates, Observation, evaluate};
 use super::plan::{OnFailure, Plan};
 
 /// Where a release stands.
@@ -62,7 +62,7 @@
 
 /// What an operator may say.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum OperatorCommand {
     /// Stop where it is.
     Halt,
     /// Go on.
@@ -75,11 +75,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Move these targets to the new version, and tell when it is done.
-    Forward(Range<usize>),
+    Upgrade(Range<usize>),
     /// Move these back to the old one, and tell when it is done.
-    Back(Range<usize>),
+    Revert(Range<usize>),
     /// Look at the figures, and tell what they show.
-    Look,
+    Observe,
     /// Wait for a word.
     Wait,
     /// It is over.
@@ -89,30 +89,30 @@
 /// One release.
 #[derive(Debug)]
 pub struct Controller {
-    waves: Vec<Range<usize>>,
+    stage_targets: Vec<Range<usize>>,
     gates: Gates,
     bake: Duration,
     on_failure: OnFailure,
     state: State,
     /// How long the present step has been watched by this process.
-    watched: Duration,
+    observed_for: Duration,
     /// Why a stage that has baked is held.
-    held: Option<String>,
+    hold_reason: Option<String>,
 }
 
 impl Controller {
     /// A release of this plan from the start, or from where `state` stands.
     pub fn new(plan: &Plan, state: Option<State>) -> Self {
-        let fresh =
+        let initial =
             || State { name: plan.name.clone(), stage: 0, step: Step::Measuring, p99: None };
         Self {
-            waves: plan.waves(),
+            stage_targets: plan.stage_targets(),
             gates: plan.gates,
             bake: plan.bake(),
             on_failure: plan.on_failure,
-            state: state.filter(|s| s.stage < plan.stages.len()).unwrap_or_else(fresh),
-            watched: Duration::ZERO,
-            held: None,
+            state: state.filter(|s| s.stage < plan.stages.len()).unwrap_or_else(initial),
+            observed_for: Duration::ZERO,
+            hold_reason: None,
         }
     }
 
@@ -122,97 +122,97 @@
     }
 
     /// Why a stage that has baked is not done yet.
-    pub fn held(&self) -> Option<&str> {
-        self.held.as_deref()
+    pub fn hold_reason(&self) -> Option<&str> {
+        self.hold_reason.as_deref()
     }
 
     /// The targets of a stage, as a range of the plan's order.
-    pub fn wave(&self, stage: usize) -> Range<usize> {
-        self.waves.get(stage).cloned().unwrap_or(0..0)
+    pub fn targets_of_stage(&self, stage: usize) -> Range<usize> {
+        self.stage_targets.get(stage).cloned().unwrap_or(0..0)
     }
 
     /// All targets that have been touched.
-    fn touched(&self) -> Range<usize> {
-        0..self.wave(self.state.stage).end
+    fn started_targets(&self) -> Range<usize> {
+        0..self.targets_of_stage(self.state.stage).end
     }
 
     /// What to do now.
     pub fn action(&self) -> Action {
         match &self.state.step {
-            Step::Moving => Action::Forward(self.wave(self.state.stage)),
-            Step::Reverting { .. } => Action::Back(self.touched()),
-            Step::Measuring | Step::Baking => Action::Look,
+            Step::Moving => Action::Upgrade(self.targets_of_stage(self.state.stage)),
+            Step::Reverting { .. } => Action::Revert(self.started_targets()),
+            Step::Measuring | Step::Baking => Action::Observe,
             Step::Halted { .. } => Action::Wait,
             Step::Done | Step::RolledBack { .. } => Action::Finish,
         }
     }
 
-    fn to(&mut self, step: Step) {
-        (self.state.step, self.watched, self.held) = (step, Duration::ZERO, None);
+    fn enter(&mut self, step: Step) {
+        (self.state.step, self.observed_for, self.hold_reason) = (step, Duration::ZERO, None);
     }
 
     /// What `action` asked to move has been moved. Of no effect where a word has changed what is to be done.
-    pub fn moved(&mut self, action: &Action) {
+    pub fn move_completed(&mut self, action: &Action) {
         if self.action() != *action {
             return;
         }
         match &self.state.step {
-            Step::Moving => self.to(Step::Baking),
+            Step::Moving => self.enter(Step::Baking),
             Step::Reverting { why } => {
                 let why = why.clone();
-                self.to(Step::RolledBack { why });
+                self.enter(Step::RolledBack { why });
             }
             _ => {}
         }
     }
 
     /// It could not be moved.
-    pub fn failed(&mut self, action: &Action, why: String) {
+    pub fn move_failed(&mut self, action: &Action, why: String) {
         if self.action() != *action {
             return;
         }
         match &self.state.step {
-            Step::Moving => self.broken(why),
+            Step::Moving => self.stage_failed(why),
             // There is no way but back: it is tried again when told so.
-            Step::Reverting { why: before } => {
-                let then = Box::new(Step::Reverting { why: before.clone() });
-                self.to(Step::Halted { why, then });
+            Step::Reverting { why: rollback_reason } => {
+                let then = Box::new(Step::Reverting { why: rollback_reason.clone() });
+                self.enter(Step::Halted { why, then });
             }
             _ => {}
         }
     }
 
-    fn broken(&mut self, why: String) {
+    fn stage_failed(&mut self, why: String) {
         match self.on_failure {
-            OnFailure::Rollback => self.to(Step::Reverting { why }),
+            OnFailure::Rollback => self.enter(Step::Reverting { why }),
             OnFailure::Halt => {
                 let then = Box::new(self.state.step.clone());
-                self.to(Step::Halted { why, then });
+                self.enter(Step::Halted { why, then });
             }
         }
     }
 
     /// What was seen since the present step began, `after` the look before.
-    pub fn seen(&mut self, seen: &Observation, after: Duration) {
-        self.watched += after;
-        let baked = self.watched >= self.bake;
+    pub fn observe(&mut self, observation: &Observation, elapsed: Duration) {
+        self.observed_for += elapsed;
+        let baked = self.observed_for >= self.bake;
         match self.state.step {
             Step::Measuring if baked => {
-                self.state.p99 = seen.old.latencies.p99();
-                self.to(Step::Moving);
+                self.state.p99 = observation.old.latencies.p99();
+                self.enter(Step::Moving);
             }
-            Step::Baking => match judge(&self.gates, seen, self.state.p99, baked) {
-                Judgement::Broken(why) => self.broken(why),
-                Judgement::Sound(p99) if baked => {
+            Step::Baking => match evaluate(&self.gates, observation, self.state.p99, baked) {
+                GateVerdict::Failed(why) => self.stage_failed(why),
+                GateVerdict::Passed(p99) if baked => {
                     self.state.p99 = p99.or(self.state.p99);
-                    if self.state.stage + 1 == self.waves.len() {
-                        self.to(Step::Done);
+                    if self.state.stage + 1 == self.stage_targets.len() {
+                        self.enter(Step::Done);
                     } else {
                         self.state.stage += 1;
-                        self.to(Step::Moving);
+                        self.enter(Step::Moving);
                     }
                 }
-                Judgement::Unknown(why) if baked => self.held = Some(why),
+                GateVerdict::Inconclusive(why) if baked => self.hold_reason = Some(why),
                 _ => {}
             },
             _ => {}
@@ -223,27 +223,29 @@
     ///
     /// # Errors
     /// Why it can't.
-    pub fn told(&mut self, word: Word) -> Result<(), &'static str> {
+    pub fn apply_command(&mut self, command: OperatorCommand) -> Result<(), &'static str> {
         let step = self.state.step.clone();
-        match (word, step) {
+        match (command, step) {
             (_, step) if step.is_over() => return Err("the release is over"),
-            (Word::Halt, Step::Halted { .. }) => {}
-            (Word::Halt, step) => {
+            (OperatorCommand::Halt, Step::Halted { .. }) => {}
+            (OperatorCommand::Halt, step) => {
                 let why = "by an operator".to_owned();
-                self.to(Step::Halted { why, then: Box::new(step) });
+                self.enter(Step::Halted { why, then: Box::new(step) });
             }
-            (Word::Resume, Step::Halted { then, .. }) => self.to(*then),
-            (Word::Resume, _) => {}
-            (Word::Rollback, Step::Reverting { .. }) => {}
-            (Word::Rollback, Step::Halted { then, .. })
+            (OperatorCommand::Resume, Step::Halted { then, .. }) => self.enter(*then),
+            (OperatorCommand::Resume, _) => {}
+            (OperatorCommand::Rollback, Step::Reverting { .. }) => {}
+            (OperatorCommand::Rollback, Step::Halted { then, .. })
                 if matches!(*then, Step::Reverting { .. }) =>
             {
-                self.to(*then);
+                self.enter(*then);
             }
-            (Word::Rollback, Step::Measuring) => {
-                self.to(Step::RolledBack { why: "by an operator".into() });
+            (OperatorCommand::Rollback, Step::Measuring) => {
+                self.enter(Step::RolledBack { why: "by an operator".into() });
+            }
+            (OperatorCommand::Rollback, _) => {
+                self.enter(Step::Reverting { why: "by an operator".into() })
             }
-            (Word::Rollback, _) => self.to(Step::Reverting { why: "by an operator".into() }),
         }
         Ok(())
     }
--- a/src/release/driver.rs
+++ b/src/release/driver.rs
@@ -12,26 +12,26 @@
 use tokio::time::{Instant, sleep};
 
 use super::balancers::{Children, replace};
-use super::controller::{Action, Controller, State, Step, Word};
+use super::controller::{Action, Controller, OperatorCommand, State, Step};
 use super::figures::Window;
 use super::gates::Observation;
 use super::plan::Plan;
-use super::state::{Kept, StateError};
+use super::state::{StateError, StateStore};
 use crate::calls::instances::Instances;
 use crate::discovery::member::Member;
 use crate::lease::client::Duty;
 
 /// How long a write to the list service may take before it is tried again.
-const WRITE_WITHIN: Duration = Duration::from_secs(5);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Wait before going on after a write that could not be made.
-const AGAIN: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Why targets were not moved.
-enum Unmoved {
+enum MoveError {
     /// Nobody decided, the duty is another's, or a word came in between: to be tried again, if still asked for.
-    Later(String),
+    Retry(String),
     /// It will not be: the release has failed.
-    Never(String),
+    Permanent(String),
 }
 
 /// One release under way.
@@ -39,9 +39,9 @@
     /// Its plan.
     pub plan: Plan,
     controller: RefCell<Controller>,
-    kept: RefCell<Kept>,
-    last: RefCell<Option<State>>,
-    changed: Notify,
+    store: RefCell<StateStore>,
+    last_stored: RefCell<Option<State>>,
+    command_received: Notify,
     instances: Option<Rc<Instances>>,
     duty: Option<Rc<Duty>>,
 }
@@ -52,7 +52,7 @@
     /// # Errors
     /// [`StateError`].
     pub fn open(plan: Plan) -> Result<Rc<Self>, StateError> {
-        let (kept, state) = Kept::open(&plan.state_dir, &plan.name)?;
+        let (store, state) = StateStore::open(&plan.state_dir, &plan.name)?;
         if let Some(state) = &state {
             tracing::info!(stage = state.stage + 1, step = ?state.step, "the release goes on");
         }
@@ -66,9 +66,9 @@
         Ok(Rc::new(Self {
             plan,
             controller,
-            kept: RefCell::new(kept),
-            last: RefCell::new(state),
-            changed: Notify::new(),
+            store: RefCell::new(store),
+            last_stored: RefCell::new(state),
+            command_received: Notify::new(),
             instances,
             duty,
         }))
@@ -79,21 +79,21 @@
     /// # Errors
     /// [`StateError`]: what can't be kept is not done.
     pub async fn run(self: Rc<Self>) -> Result<Step, StateError> {
-        let holding = self
+        let lease_task = self
             .duty
             .clone()
             .map(|duty| crate::tasks::AbortOnDrop(tokio::task::spawn_local(duty.run())));
         let mut window = Window::default();
         let mut children = Children::default();
         let mut step = None;
-        let mut looked = Instant::now();
+        let mut observed_at = Instant::now();
         loop {
-            self.keep()?;
+            self.store_state()?;
             let state = self.controller.borrow().state().clone();
             if step.as_ref() != Some(&state.step) {
                 tracing::info!(stage = state.stage + 1, step = ?state.step, "release");
                 window.restart();
-                looked = Instant::now();
+                observed_at = Instant::now();
                 step = Some(state.step.clone());
             }
             let action = self.controller.borrow().action();
@@ -101,38 +101,39 @@
                 if let Some(duty) = &self.duty {
                     duty.release().await;
                 }
-                drop(holding);
+                drop(lease_task);
                 return Ok(state.step);
             }
             if self.duty.as_ref().is_some_and(|d| d.token().is_none()) {
                 // Another controller's, or not granted yet.
-                sleep(AGAIN / 4).await;
+                sleep(RETRY_DELAY / 4).await;
                 continue;
             }
             match &action {
                 Action::Finish => {}
-                Action::Wait => self.changed.notified().await,
-                Action::Look => {
+                Action::Wait => self.command_received.notified().await,
+                Action::Observe => {
                     tokio::select! {
                         () = sleep(Duration::from_millis(self.plan.poll_ms)) => {}
-                        () = self.changed.notified() => continue,
+                        () = self.command_received.notified() => continue,
                     }
-                    let balancers = self.look(&mut window, &state).await;
-                    let after = looked.elapsed();
-                    looked = Instant::now();
-                    self.controller.borrow_mut().seen(&balancers, after);
+                    let observation = self.observe(&mut window, &state).await;
+                    let elapsed = observed_at.elapsed();
+                    observed_at = Instant::now();
+                    self.controller.borrow_mut().observe(&observation, elapsed);
                 }
-                Action::Forward(wave) | Action::Back(wave) => {
-                    let forward = matches!(action, Action::Forward(_));
-                    let moved = self.shift(wave.clone(), forward, &action, &mut children).await;
+                Action::Upgrade(targets) | Action::Revert(targets) => {
+                    let forward = matches!(action, Action::Upgrade(_));
+                    let moved =
+                        self.move_targets(targets.clone(), forward, &action, &mut children).await;
                     let mut controller = self.controller.borrow_mut();
                     match moved {
-                        Ok(()) => controller.moved(&action),
-                        Err(Unmoved::Never(why)) => controller.failed(&action, why),
-                        Err(Unmoved::Later(why)) => {
+                        Ok(()) => controller.move_completed(&action),
+                        Err(MoveError::Permanent(why)) => controller.move_failed(&action, why),
+                        Err(MoveError::Retry(why)) => {
                             drop(controller);
                             tracing::warn!(why, "not moved yet");
-                            sleep(AGAIN).await;
+                            sleep(RETRY_DELAY).await;
                         }
                     }
                 }
@@ -141,12 +142,12 @@
     }
 
     /// Has the state on disk, if it has changed since it was last.
-    fn keep(&self) -> Result<(), StateError> {
+    fn store_state(&self) -> Result<(), StateError> {
         let state = self.controller.borrow().state().clone();
-        let mut last = self.last.borrow_mut();
-        if last.as_ref() != Some(&state) {
-            self.kept.borrow_mut().keep(&state)?;
-            *last = Some(state);
+        let mut last_stored = self.last_stored.borrow_mut();
+        if last_stored.as_ref() != Some(&state) {
+            self.store.borrow_mut().store(&state)?;
+            *last_stored = Some(state);
         }
         Ok(())
     }
@@ -155,10 +156,10 @@
     ///
     /// # Errors
     /// Why it can't be carried out, or kept.
-    pub fn told(&self, word: Word) -> Result<(), String> {
-        self.controller.borrow_mut().told(word)?;
-        self.keep().map_err(|e| e.to_string())?;
-        self.changed.notify_one();
+    pub fn apply_command(&self, command: OperatorCommand) -> Result<(), String> {
+        self.controller.borrow_mut().apply_command(command)?;
+        self.store_state().map_err(|e| e.to_string())?;
+        self.command_received.notify_one();
         Ok(())
     }
 
@@ -166,50 +167,50 @@
     pub fn status(&self) -> Value {
         let controller = self.controller.borrow();
         let mut status = status(&self.plan, Some(controller.state()));
-        status["held"] = json!(controller.held());
+        status["held"] = json!(controller.hold_reason());
         status["duty"] = json!(self.duty.as_ref().map(|d| d.token()));
         status
     }
 
-    async fn look(&self, window: &mut Window, state: &State) -> Observation {
-        let touched = match state.step {
+    async fn observe(&self, window: &mut Window, state: &State) -> Observation {
+        let upgraded_count = match state.step {
             Step::Measuring => 0,
-            _ => self.controller.borrow().wave(state.stage).end,
+            _ => self.controller.borrow().targets_of_stage(state.stage).end,
         };
         if self.plan.balancers.is_empty() {
-            window.look(&self.plan.proxies).await;
-            let (done, rest) = self.plan.upstreams.split_at(touched);
-            let new: HashSet<&str> = done.iter().map(|u| u.new.id.as_str()).collect();
-            let old: HashSet<&str> = rest.iter().map(|u| u.old.as_str()).collect();
-            return window.of_upstreams(&new, &old);
+            window.scrape(&self.plan.proxies).await;
+            let (upgraded, remaining) = self.plan.upstreams.split_at(upgraded_count);
+            let new: HashSet<&str> = upgraded.iter().map(|u| u.new.id.as_str()).collect();
+            let old: HashSet<&str> = remaining.iter().map(|u| u.old.as_str()).collect();
+            return window.upstream_observation(&new, &old);
         }
-        let (done, rest) = self.plan.balancers.split_at(touched);
-        let new: Vec<_> = done.iter().map(|b| b.new.management).collect();
-        let old: Vec<_> = rest.iter().map(|b| b.old.management).collect();
-        window.look(&new).await;
-        window.look(&old).await;
-        window.of_balancers(&new, &old)
+        let (upgraded, remaining) = self.plan.balancers.split_at(upgraded_count);
+        let new: Vec<_> = upgraded.iter().map(|b| b.new.management).collect();
+        let old: Vec<_> = remaining.iter().map(|b| b.old.management).collect();
+        window.scrape(&new).await;
+        window.scrape(&old).await;
+        window.balancer_observation(&new, &old)
     }
 
-    async fn shift(
+    async fn move_targets(
         &self,
-        wave: Range<usize>,
+        targets: Range<usize>,
         forward: bool,
-        asked: &Action,
+        requested: &Action,
         children: &mut Children,
-    ) -> Result<(), Unmoved> {
-        for i in wave {
-            if self.controller.borrow().action() != *asked {
-                return Err(Unmoved::Later("a word came in between".into()));
+    ) -> Result<(), MoveError> {
+        for i in targets {
+            if self.controller.borrow().action() != *requested {
+                return Err(MoveError::Retry("a word came in between".into()));
             }
             if let Some(upstream) = self.plan.upstreams.get(i) {
                 // First the one that serves from now on: capacity is never missing.
                 if forward {
                     self.register(&upstream.new).await?;
-                    self.phase(&upstream.old, "DRAINING").await?;
+                    self.set_phase(&upstream.old, "DRAINING").await?;
                 } else {
-                    self.phase(&upstream.old, "SERVING").await?;
-                    self.phase(&upstream.new.id, "DRAINING").await?;
+                    self.set_phase(&upstream.old, "SERVING").await?;
+                    self.set_phase(&upstream.new.id, "DRAINING").await?;
                 }
             }
             if let Some(balancer) = self.plan.balancers.get(i) {
@@ -217,15 +218,15 @@
                     true => (&balancer.old, &balancer.new),
                     false => (&balancer.new, &balancer.old),
                 };
-                let logs = &self.plan.state_dir;
-                let replaced = replace(&balancer.name, from, to, logs, children).await;
-                replaced.map_err(Unmoved::Never)?;
+                let log_dir = &self.plan.state_dir;
+                let replaced = replace(&balancer.name, from, to, log_dir, children).await;
+                replaced.map_err(MoveError::Permanent)?;
             }
         }
         Ok(())
     }
 
-    async fn register(&self, member: &Member) -> Result<(), Unmoved> {
+    async fn register(&self, member: &Member) -> Result<(), MoveError> {
         let mut member = member.clone();
         if member.up_since_ms == 0.0 {
             // It has just started: the bank must not push it over while it is cold.
@@ -235,7 +236,7 @@
         self.write("/admin/members", json!({"member": member})).await.map(drop)
     }
 
-    async fn phase(&self, id: &str, phase: &str) -> Result<(), Unmoved> {
+    async fn set_phase(&self, id: &str, phase: &str) -> Result<(), MoveError> {
         let body = json!({"id": id, "phase": phase});
         if !self.write("/admin/members/phase", body).await? {
             tracing::warn!(id, phase, "no such member: left aside");
@@ -244,29 +245,29 @@
     }
 
     /// One write under the duty's token; false where there is no such member.
-    async fn write(&self, path: &str, mut body: Value) -> Result<bool, Unmoved> {
+    async fn write(&self, path: &str, mut body: Value) -> Result<bool, MoveError> {
         let (Some(duty), Some(instances)) = (&self.duty, &self.instances) else {
-            return Err(Unmoved::Never("no list service".into()));
+            return Err(MoveError::Permanent("no list service".into()));
         };
         let Some(token) = duty.token() else {
-            return Err(Unmoved::Later("the duty is lost".into()));
+            return Err(MoveError::Retry("the duty is lost".into()));
         };
         body["fence"] = json!({"duty": format!("release/{}", self.plan.name), "token": token});
-        match instances.post(path, &body, WRITE_WITHIN).await {
+        match instances.post(path, &body, WRITE_TIMEOUT).await {
             Ok((StatusCode::OK, _)) => Ok(true),
             Ok((StatusCode::NOT_FOUND, _)) => Ok(false),
             Ok((StatusCode::CONFLICT | StatusCode::INSUFFICIENT_STORAGE, value)) => {
-                Err(Unmoved::Later(value.to_string()))
+                Err(MoveError::Retry(value.to_string()))
             }
-            Ok((status, value)) => Err(Unmoved::Never(format!("{path}: {status}: {value}"))),
-            Err(undecided) => Err(Unmoved::Later(undecided.to_string())),
+            Ok((status, value)) => Err(MoveError::Permanent(format!("{path}: {status}: {value}"))),
+            Err(error) => Err(MoveError::Retry(error.to_string())),
         }
     }
 }
 
 /// The release as its state tells it: of each stage its number, share, targets and state.
 pub fn status(plan: &Plan, state: Option<&State>) -> Value {
-    let at = state.map_or(0, |s| s.stage);
+    let current_stage = state.map_or(0, |s| s.stage);
     let (step, why) = match state.map(|s| &s.step) {
         None => ("not started", None),
         Some(Step::Measuring) => ("measuring", None),
@@ -278,18 +279,29 @@
         Some(Step::RolledBack { why }) => ("rolled back", Some(why)),
     };
     let stages: Vec<Value> = plan
-        .waves()
+        .stage_targets()
         .into_iter()
         .zip(&plan.stages)
         .enumerate()
-        .map(|(i, (wave, upto))| {
-            let of = match () {
-                () if i > at || step == "not started" => "waiting",
-                () if i < at && !step.starts_with("roll") => "done",
+        .map(|(i, (targets, upto))| {
+            let stage_state = match () {
+                () if i > current_stage || step == "not started" => "waiting",
+                () if i < current_stage && !step.starts_with("roll") => "done",
                 () => step,
             };
-            json!({"stage": i + 1, "upto_percent": upto, "targets": wave.len(), "state": of})
+            json!({
+                "stage": i + 1,
+                "upto_percent": upto,
+                "targets": targets.len(),
+                "state": stage_state,
+            })
         })
         .collect();
-    json!({"name": plan.name, "stage": at + 1, "step": step, "why": why, "stages": stages})
+    json!({
+        "name": plan.name,
+        "stage": current_stage + 1,
+        "step": step,
+        "why": why,
+        "stages": stages,
+    })
 }
--- a/src/release/figures.rs
+++ b/src/release/figures.rs
@@ -7,11 +7,11 @@
 use hyper::{Method, StatusCode};
 use prometheus_parse::{Scrape, Value};
 
-use super::gates::{Observation, Seen};
+use super::gates::{Observation, TrafficStats};
 use crate::calls::ask;
 
 /// How long one proxy may take to answer.
-const WITHIN: Duration = Duration::from_secs(1);
+const SCRAPE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// One proxy's counts as scraped: by name and labels, and by bucket of a histogram.
 pub type Counts = BTreeMap<(String, String, u64), u64>;
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 /// What is no Prometheus text.
-pub fn read(text: &str) -> std::io::Result<Counts> {
+pub fn parse_metrics(text: &str) -> std::io::Result<Counts> {
     let scrape = Scrape::parse(text.lines().map(|l| Ok(l.to_owned())))?;
     let mut counts = Counts::new();
     for sample in scrape.samples {
@@ -61,14 +61,14 @@
 impl Window {
     /// Takes a proxy's counts in. What it counted before its first word here does not count; after a restart it
     /// counts from nothing.
-    pub fn take(&mut self, proxy: SocketAddr, counts: Counts) {
+    pub fn record(&mut self, proxy: SocketAddr, counts: Counts) {
         let sums = self.sums.entry(proxy).or_default();
         if let Some(last) = self.last.get(&proxy) {
             for (key, &now) in &counts {
-                let before = last.get(key).copied().unwrap_or(0);
+                let previous = last.get(key).copied().unwrap_or(0);
                 // Lower than before: the process is another one.
-                let more = now.checked_sub(before).unwrap_or(now);
-                *sums.entry(key.clone()).or_default() += more;
+                let increase = now.checked_sub(previous).unwrap_or(now);
+                *sums.entry(key.clone()).or_default() += increase;
             }
         }
         self.last.insert(proxy, counts);
@@ -80,87 +80,95 @@
     }
 
     /// Asks each proxy and takes in what it says; the number that said nothing.
-    pub async fn look(&mut self, proxies: &[SocketAddr]) -> usize {
-        let mut silent = 0;
+    pub async fn scrape(&mut self, proxies: &[SocketAddr]) -> usize {
+        let mut unavailable = 0;
         for &proxy in proxies {
-            match ask(proxy, Method::GET, "/metrics", "", WITHIN).await {
-                Ok((StatusCode::OK, body)) => match read(&String::from_utf8_lossy(&body)) {
-                    Ok(counts) => self.take(proxy, counts),
-                    Err(cause) => {
-                        silent += 1;
-                        tracing::warn!(%proxy, %cause, "figures that can't be read");
+            match ask(proxy, Method::GET, "/metrics", "", SCRAPE_TIMEOUT).await {
+                Ok((StatusCode::OK, body)) => {
+                    match parse_metrics(&String::from_utf8_lossy(&body)) {
+                        Ok(counts) => self.record(proxy, counts),
+                        Err(cause) => {
+                            unavailable += 1;
+                            tracing::warn!(%proxy, %cause, "figures that can't be read");
+                        }
                     }
-                },
+                }
                 Ok((status, _)) => {
-                    silent += 1;
+                    unavailable += 1;
                     tracing::warn!(%proxy, %status, "no figures");
                 }
                 Err(cause) => {
-                    silent += 1;
+                    unavailable += 1;
                     tracing::debug!(%cause, "no figures");
                 }
             }
         }
-        silent
+        unavailable
     }
 
-    fn upstreams(&self, ids: &HashSet<&str>) -> Seen {
-        let mut seen = Seen::default();
+    fn upstream_stats(&self, ids: &HashSet<&str>) -> TrafficStats {
+        let mut stats = TrafficStats::default();
         for ((name, end, bound), &n) in self.sums.values().flatten() {
             if !name.strip_prefix("upstream:").is_some_and(|id| ids.contains(id)) {
                 continue;
             }
             match end.as_str() {
-                "latency" => *seen.latencies.0.entry(*bound).or_default() += n,
+                "latency" => *stats.latencies.0.entry(*bound).or_default() += n,
                 // Turned away unseen: the proxy tries elsewhere, and it tells of load, not of the version.
                 "refused" => {}
                 _ => {
-                    seen.attempts += n;
-                    seen.errors += if end == "served" { 0 } else { n };
+                    stats.attempts += n;
+                    stats.errors += if end == "served" { 0 } else { n };
                 }
             }
         }
-        seen
+        stats
     }
 
-    fn requests(&self, proxies: &[SocketAddr]) -> (u64, u64, u64) {
-        let mut of = [0; 3];
+    fn request_counts(&self, proxies: &[SocketAddr]) -> (u64, u64, u64) {
+        let mut totals = [0; 3];
         for counts in proxies.iter().filter_map(|p| self.sums.get(p)) {
-            for (at, end) in ["ok", "shed", "errors"].iter().enumerate() {
+            for (index, end) in ["ok", "shed", "errors"].iter().enumerate() {
                 let key = ("requests".to_owned(), (*end).to_owned(), 0);
-                of[at] += counts.get(&key).copied().unwrap_or(0);
+                totals[index] += counts.get(&key).copied().unwrap_or(0);
             }
         }
-        (of[0], of[1], of[2])
+        (totals[0], totals[1], totals[2])
     }
 
     /// What was seen of upstreams: the new ones, and those they take the place of.
-    pub fn of_upstreams(&self, new: &HashSet<&str>, old: &HashSet<&str>) -> Observation {
+    pub fn upstream_observation(&self, new: &HashSet<&str>, old: &HashSet<&str>) -> Observation {
         let proxies: Vec<SocketAddr> = self.sums.keys().copied().collect();
-        let (ok, refused, errors) = self.requests(&proxies);
+        let (ok, refused, errors) = self.request_counts(&proxies);
         Observation {
-            new: self.upstreams(new),
-            old: self.upstreams(old),
+            new: self.upstream_stats(new),
+            old: self.upstream_stats(old),
             requests: ok + refused + errors,
             refused,
         }
     }
 
     /// What was seen of balancers: their requests count, refusals apart; the time is that of their attempts.
-    pub fn of_balancers(&self, new: &[SocketAddr], old: &[SocketAddr]) -> Observation {
-        let seen = |proxies: &[SocketAddr]| {
-            let (ok, _, errors) = self.requests(proxies);
-            let mut seen = Seen { attempts: ok + errors, errors, ..Seen::default() };
+    pub fn balancer_observation(&self, new: &[SocketAddr], old: &[SocketAddr]) -> Observation {
+        let stats_of = |proxies: &[SocketAddr]| {
+            let (ok, _, errors) = self.request_counts(proxies);
+            let mut stats =
+                TrafficStats { attempts: ok + errors, errors, ..TrafficStats::default() };
             for counts in proxies.iter().filter_map(|p| self.sums.get(p)) {
                 for ((_, _, bound), n) in counts.iter().filter(|((_, end, _), _)| end == "latency")
                 {
-                    *seen.latencies.0.entry(*bound).or_default() += n;
+                    *stats.latencies.0.entry(*bound).or_default() += n;
                 }
             }
-            seen
+            stats
         };
-        let (ok, refused, errors) = self.requests(new);
-        Observation { new: seen(new), old: seen(old), requests: ok + refused + errors, refused }
+        let (ok, refused, errors) = self.request_counts(new);
+        Observation {
+            new: stats_of(new),
+            old: stats_of(old),
+            requests: ok + refused + errors,
+            refused,
+        }
     }
 }
 
--- a/src/release/figures/tests.rs
+++ b/src/release/figures/tests.rs
@@ -14,16 +14,16 @@
 }
 
 #[test]
-fn counts_are_added_up_from_the_first_look_and_through_a_restart() {
+fn counts_accumulate_from_the_first_scrape_and_across_a_restart() {
     let (mut window, proxy) = (Window::default(), SocketAddr::from(([127, 0, 0, 1], 1)));
     for (served, errors) in [(100, 9), (130, 10), (5, 0)] {
-        window.take(proxy, read(&text(served, errors)).expect("a scrape"));
+        window.record(proxy, parse_metrics(&text(served, errors)).expect("a scrape"));
     }
-    let seen = window.of_upstreams(&["a"].into(), &["b"].into());
+    let seen = window.upstream_observation(&["a"].into(), &["b"].into());
     assert_eq!((seen.new.attempts, seen.new.errors), (36, 1));
     assert_eq!(seen.new.latencies.0, BTreeMap::from([(10_000, 35)]));
-    assert_eq!(seen.old, Seen::default());
+    assert_eq!(seen.old, TrafficStats::default());
     window.restart();
-    assert_eq!(window.of_upstreams(&["a"].into(), &["b"].into()).new.attempts, 0);
-    assert!(read("no figure at all").map_or(true, |c| c.is_empty()));
+    assert_eq!(window.upstream_observation(&["a"].into(), &["b"].into()).new.attempts, 0);
+    assert!(parse_metrics("no figure at all").map_or(true, |c| c.is_empty()));
 }
--- a/src/release/gates.rs
+++ b/src/release/gates.rs
@@ -71,7 +71,7 @@
 
 /// Attempts at one set of upstreams, or requests at one set of balancers.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Seen {
+pub struct TrafficStats {
     /// That ended in any way that tells of them.
     pub attempts: u64,
     /// Of those, that failed or found nobody there.
@@ -84,9 +84,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Observation {
     /// The new version.
-    pub new: Seen,
+    pub new: TrafficStats,
     /// What it takes the place of.
-    pub old: Seen,
+    pub old: TrafficStats,
     /// Requests that ended at the proxies.
     pub requests: u64,
     /// Of those, refused.
@@ -95,56 +95,62 @@
 
 /// What a look at the figures says.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Judgement {
+pub enum GateVerdict {
     /// Too little was seen.
-    Unknown(String),
+    Inconclusive(String),
     /// It keeps to all gates; with the p99 it shows, in microseconds.
-    Sound(Option<f64>),
+    Passed(Option<f64>),
     /// It does not.
-    Broken(String),
+    Failed(String),
 }
 
 /// So few attempts say something once a stage has baked: proxies soon leave an upstream alone that nobody reaches.
-const FEW: u64 = 3;
+const MIN_ATTEMPTS_AFTER_BAKE: u64 = 3;
 
 /// Judges a stage against the p99 of the stage before, in microseconds, where that is known. `baked`: no more is to be
 /// expected.
-pub fn judge(gates: &Gates, seen: &Observation, before: Option<f64>, baked: bool) -> Judgement {
+pub fn evaluate(
+    gates: &Gates,
+    observation: &Observation,
+    baseline_p99: Option<f64>,
+    baked: bool,
+) -> GateVerdict {
     let share = |part: u64, of: u64| if of == 0 { 0.0 } else { part as f64 / of as f64 };
-    let (new, least) = (&seen.new, gates.min_requests);
+    let (new, min_requests) = (&observation.new, gates.min_requests);
     let errors = share(new.errors, new.attempts);
-    let few = baked && new.attempts >= FEW.min(least) && errors > 0.5;
-    if (new.attempts >= least || few) && errors > gates.error_share {
-        return Judgement::Broken(format!(
+    let few_but_failing =
+        baked && new.attempts >= MIN_ATTEMPTS_AFTER_BAKE.min(min_requests) && errors > 0.5;
+    if (new.attempts >= min_requests || few_but_failing) && errors > gates.error_share {
+        return GateVerdict::Failed(format!(
             "errors: {} of {} attempts ({errors:.3} over {:.3})",
             new.errors, new.attempts, gates.error_share
         ));
     }
-    let refused = share(seen.refused, seen.requests);
-    if seen.requests >= least && refused > gates.refused_share {
-        return Judgement::Broken(format!(
+    let refused = share(observation.refused, observation.requests);
+    if observation.requests >= min_requests && refused > gates.refused_share {
+        return GateVerdict::Failed(format!(
             "refusals: {} of {} requests ({refused:.3} over {:.3})",
-            seen.refused, seen.requests, gates.refused_share
+            observation.refused, observation.requests, gates.refused_share
         ));
     }
     let p99 = new.latencies.p99();
-    if let (Some(p99), Some(before)) = (p99, before.or(seen.old.latencies.p99()))
-        && new.attempts >= 5 * least
-        && p99 > before * gates.p99_ratio
+    if let (Some(p99), Some(baseline_p99)) = (p99, baseline_p99.or(observation.old.latencies.p99()))
+        && new.attempts >= 5 * min_requests
+        && p99 > baseline_p99 * gates.p99_ratio
     {
-        return Judgement::Broken(format!(
+        return GateVerdict::Failed(format!(
             "latency: p99 {:.1} ms over {:.1} times {:.1} ms",
             p99 / 1e3,
             gates.p99_ratio,
-            before / 1e3
+            baseline_p99 / 1e3
         ));
     }
     // Without a p99 to compare, errors and refusals are all there is.
-    let needed = if p99.is_some() { 5 * least } else { least };
+    let needed = if p99.is_some() { 5 * min_requests } else { min_requests };
     if new.attempts < needed {
-        return Judgement::Unknown(format!("{} of {needed} attempts seen", new.attempts));
+        return GateVerdict::Inconclusive(format!("{} of {needed} attempts seen", new.attempts));
     }
-    Judgement::Sound(p99)
+    GateVerdict::Passed(p99)
 }
 
 #[cfg(test)]
--- a/src/release/gates/tests.rs
+++ b/src/release/gates/tests.rs
@@ -5,47 +5,49 @@
 
 use super::*;
 
-fn seen(attempts: u64, errors: u64, ms: u64) -> Seen {
+fn seen(attempts: u64, errors: u64, ms: u64) -> TrafficStats {
     let bounds = [1000, 2000, 5000, 10_000, 50_000, 100_000];
     let count = |b| if b >= ms * 1000 { attempts - errors } else { 0 };
-    Seen { attempts, errors, latencies: Latencies(bounds.map(|b| (b, count(b))).into()) }
+    TrafficStats { attempts, errors, latencies: Latencies(bounds.map(|b| (b, count(b))).into()) }
 }
 
 #[test]
-fn errors_refusals_and_latency_break_a_stage_and_too_little_says_nothing() {
+fn errors_refusals_and_latency_fail_a_stage_and_too_few_attempts_are_inconclusive() {
     let gates = Gates::default();
-    let look = |new: Seen, before| {
-        judge(&gates, &Observation { new, ..Observation::default() }, before, false)
+    let look = |new: TrafficStats, before| {
+        evaluate(&gates, &Observation { new, ..Observation::default() }, before, false)
     };
-    assert!(matches!(look(seen(19, 19, 1), None), Judgement::Unknown(_)));
-    assert!(matches!(look(seen(20, 4, 1), None), Judgement::Broken(why) if why.contains("errors")));
-    assert!(matches!(look(seen(99, 0, 1), Some(900.0)), Judgement::Unknown(_)));
-    assert!(matches!(look(seen(100, 0, 1), Some(900.0)), Judgement::Sound(Some(_))));
+    assert!(matches!(look(seen(19, 19, 1), None), GateVerdict::Inconclusive(_)));
     assert!(
-        matches!(look(seen(100, 0, 50), Some(10_000.0)), Judgement::Broken(why) if why.contains("p99"))
+        matches!(look(seen(20, 4, 1), None), GateVerdict::Failed(why) if why.contains("errors"))
+    );
+    assert!(matches!(look(seen(99, 0, 1), Some(900.0)), GateVerdict::Inconclusive(_)));
+    assert!(matches!(look(seen(100, 0, 1), Some(900.0)), GateVerdict::Passed(Some(_))));
+    assert!(
+        matches!(look(seen(100, 0, 50), Some(10_000.0)), GateVerdict::Failed(why) if why.contains("p99"))
     );
     let refusing = Observation { requests: 100, refused: 6, ..Observation::default() };
     assert!(
-        matches!(judge(&gates, &refusing, None, false), Judgement::Broken(why) if why.contains("refusals"))
+        matches!(evaluate(&gates, &refusing, None, false), GateVerdict::Failed(why) if why.contains("refusals"))
     );
     let gone = Observation { new: seen(4, 4, 1), ..Observation::default() };
-    assert!(matches!(judge(&gates, &gone, None, false), Judgement::Unknown(_)));
-    assert!(matches!(judge(&gates, &gone, None, true), Judgement::Broken(_)));
+    assert!(matches!(evaluate(&gates, &gone, None, false), GateVerdict::Inconclusive(_)));
+    assert!(matches!(evaluate(&gates, &gone, None, true), GateVerdict::Failed(_)));
     // Before the first stage there is only the old version to compare with, in the same window.
     let slower =
         Observation { new: seen(200, 0, 50), old: seen(200, 0, 5), ..Observation::default() };
-    assert!(matches!(judge(&gates, &slower, None, false), Judgement::Broken(_)));
+    assert!(matches!(evaluate(&gates, &slower, None, false), GateVerdict::Failed(_)));
 }
 
 #[test]
-fn p99_is_within_its_bucket() {
+fn p99_is_interpolated_within_its_bucket() {
     assert_eq!(Latencies::default().p99(), None);
     let some = Latencies([(1000, 90), (2000, 100), (4000, 100)].into());
     assert_eq!(some.p99(), Some(1900.0));
 }
 
 /// Answers of 10 ms and an exponential rest with this mean, drawn anew.
-fn drawn(rng: &mut StdRng, slower_ms: f64, count: u64) -> Latencies {
+fn sample_latencies(rng: &mut StdRng, slower_ms: f64, count: u64) -> Latencies {
     // As the proxies' figures have them: each bound a third above the one before.
     let mut bounds: BTreeMap<u64, u64> =
         (0..35).map(|i| ((1000.0 * f64::powi(4.0 / 3.0, i)) as u64, 0)).collect();
@@ -58,22 +60,22 @@
 }
 
 #[test]
-fn a_version_as_quick_as_the_one_before_passes_and_one_that_is_slow_never_does() {
+fn equal_latency_always_passes_and_a_slow_version_never_does() {
     let gates = Gates::default();
     // As few answers as are judged at all, and the stage before from no more.
     let fewest = gates.min_requests * 5;
     let judged = |rng: &mut StdRng, slower_ms: f64| {
-        let before = drawn(rng, 0.0, fewest).p99();
-        let latencies = drawn(rng, slower_ms, fewest);
-        let new = Seen { attempts: fewest, errors: 0, latencies };
-        judge(&gates, &Observation { new, ..Observation::default() }, before, false)
+        let before = sample_latencies(rng, 0.0, fewest).p99();
+        let latencies = sample_latencies(rng, slower_ms, fewest);
+        let new = TrafficStats { attempts: fewest, errors: 0, latencies };
+        evaluate(&gates, &Observation { new, ..Observation::default() }, before, false)
     };
     for seed in 0..2_000 {
         let mut rng = StdRng::seed_from_u64(seed);
         let (same, slow) = (judged(&mut rng, 0.0), judged(&mut rng, 60.0));
-        assert!(matches!(same, Judgement::Sound(Some(_))), "seed {seed}: {same:?}");
+        assert!(matches!(same, GateVerdict::Passed(Some(_))), "seed {seed}: {same:?}");
         assert!(
-            matches!(&slow, Judgement::Broken(why) if why.contains("latency")),
+            matches!(&slow, GateVerdict::Failed(why) if why.contains("latency")),
             "seed {seed}: {slow:?}"
         );
     }
--- a/src/release/plan.rs
+++ b/src/release/plan.rs
@@ -145,9 +145,9 @@
         if !self.upstreams.is_empty() && self.proxies.is_empty() {
             return fault("proxies", "without their figures no gate can be judged");
         }
-        let mut seen = std::collections::HashSet::new();
+        let mut ids = std::collections::HashSet::new();
         for (i, upstream) in self.upstreams.iter().enumerate() {
-            if !seen.insert(&upstream.old) || !seen.insert(&upstream.new.id) {
+            if !ids.insert(&upstream.old) || !ids.insert(&upstream.new.id) {
                 return Some((format!("upstreams[{i}]"), "an id that stands twice"));
             }
             if let Some((key, cause)) = upstream.new.fault() {
@@ -164,22 +164,22 @@
     }
 
     /// How many targets there are.
-    pub fn targets(&self) -> usize {
+    pub fn target_count(&self) -> usize {
         self.upstreams.len().max(self.balancers.len())
     }
 
     /// The targets each stage adds, as ranges of their order: stage `i` brings the total to `stages[i]`
     /// percent, rounded up so that no stage is empty while targets are left.
-    pub fn waves(&self) -> Vec<std::ops::Range<usize>> {
-        let total = self.targets();
-        let mut done = 0;
-        let mut waves = Vec::with_capacity(self.stages.len());
+    pub fn stage_targets(&self) -> Vec<std::ops::Range<usize>> {
+        let total = self.target_count();
+        let mut start = 0;
+        let mut ranges = Vec::with_capacity(self.stages.len());
         for &share in &self.stages {
-            let upto = (total * share as usize).div_ceil(100).max((done + 1).min(total));
-            waves.push(done..upto);
-            done = upto;
+            let end = (total * share as usize).div_ceil(100).max((start + 1).min(total));
+            ranges.push(start..end);
+            start = end;
         }
-        waves
+        ranges
     }
 
     /// How long a stage bakes, at least.
--- a/src/release/plan/tests.rs
+++ b/src/release/plan/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn every_target_is_in_one_wave_and_no_wave_is_empty_while_some_are_left() {
+fn every_target_is_in_one_stage_and_no_stage_is_empty_while_targets_remain() {
     let mut text = String::from(
         "name = \"a\"\nmanagement = \"127.0.0.1:1\"\nstate_dir = \"x\"\nstages = [1, 10, 50, 100]\n\
          services = [\"127.0.0.1:1\"]\nproxies = [\"127.0.0.1:2\"]\n",
@@ -14,5 +14,5 @@
     }
     let plan: Plan = configuration::parse(Path::new("plan"), &text).expect("a plan");
     assert_eq!(plan.fault(), None);
-    assert_eq!(plan.waves(), [0..1, 1..2, 2..4, 4..7]);
+    assert_eq!(plan.stage_targets(), [0..1, 1..2, 2..4, 4..7]);
 }
--- a/src/release/state.rs
+++ b/src/release/state.rs
@@ -6,7 +6,7 @@
 use crate::store::{Log, Recovery, StoreError, log};
 
 /// Bytes of log after which the last state takes the place of the rest.
-const COMPACT: u64 = 1 << 20;
+const COMPACT_THRESHOLD_BYTES: u64 = 1 << 20;
 
 /// Why a state is not to be had.
 #[derive(Debug, thiserror::Error)]
@@ -22,7 +22,7 @@
     Other(String),
 }
 
-fn last(
+fn decode_last(
     snapshot: Option<Vec<u8>>,
     records: Vec<Vec<u8>>,
     name: &str,
@@ -43,21 +43,21 @@
     if !dir.exists() {
         return Ok(None);
     }
-    let found = log::inspect(dir)?;
-    last(found.snapshot, found.records, name)
+    let contents = log::inspect(dir)?;
+    decode_last(contents.snapshot, contents.records, name)
 }
 
 /// The state of one release, open for writes.
-pub struct Kept(Log);
+pub struct StateStore(Log);
 
-impl Kept {
+impl StateStore {
     /// Opens `dir` for the release `name`, with the state that is kept there.
     ///
     /// # Errors
     /// [`StateError`]; [`StoreError::InUse`] while another controller has it.
     pub fn open(dir: &Path, name: &str) -> Result<(Self, Option<State>), StateError> {
         let opened = Log::open(dir, Recovery::Strict, None)?;
-        let state = last(opened.snapshot, opened.records, name)?;
+        let state = decode_last(opened.snapshot, opened.records, name)?;
         Ok((Self(opened.log), state))
     }
 
@@ -65,10 +65,10 @@
     ///
     /// # Errors
     /// [`StateError`]; what was kept before stands.
-    pub fn keep(&mut self, state: &State) -> Result<(), StateError> {
+    pub fn store(&mut self, state: &State) -> Result<(), StateError> {
         let state = postcard::to_stdvec(state)?;
         self.0.append(&[&state])?;
-        if self.0.length() > COMPACT {
+        if self.0.length() > COMPACT_THRESHOLD_BYTES {
             self.0.compact(&state)?;
         }
         Ok(())
--- a/src/roles/mod.rs
+++ b/src/roles/mod.rs
@@ -262,10 +262,10 @@
             ReleaseCommand::Rollback(_) => Some("rollback"),
         };
         let status = match word {
-            None => control::look(&plan).await,
-            Some(word) => control::tell(&plan, word).await,
+            None => control::fetch_status(&plan).await,
+            Some(word) => control::send_command(&plan, word).await,
         };
-        print!("{}", control::lines(&status.map_err(RoleError::Refused)?));
+        print!("{}", control::format_status(&status.map_err(RoleError::Refused)?));
         Ok(())
     })
 }
