--- a/src/release/balancers.rs
+++ b/src/release/balancers.rs
@@ -1,6 +1,6 @@
-//! One balancer replaced by another process at the same addresses: the new one is started beside the old and, once
-//! it says that it is ready, the old one is told to stop (docs/on-call.md, "Replace it"). At no moment does nobody
-//! listen.
+//! Replaces a balancer by another process at the same client addresses. The new process is started beside the old one;
+//! once it reports ready, the old one gets SIGTERM (docs/on-call.md, "Replace it"). At every moment at least one
+//! process listens.
 
 use std::fs::OpenOptions;
 use std::net::SocketAddr;
@@ -17,26 +17,27 @@
 use super::plan::Version;
 use crate::calls::ask;
 
-/// How long a new process may take to be ready.
+/// Time limit for a new process to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long an old one is waited for; it ends by itself even if that takes longer.
+/// Maximum wait for an old process to exit. If it takes longer, it still exits by itself.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(15);
-/// How long one call may take, and how often it is made.
+/// Time limit of one health call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Interval between health calls.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The processes that this controller has started; they outlive it.
+/// The processes that this controller has started. They keep running when it exits.
 #[derive(Debug, Default)]
 pub struct Children(Vec<Child>);
 
 impl Children {
-    /// Takes note of those that have ended.
+    /// Reaps the processes that have exited.
     fn reap(&mut self) {
         self.0.retain_mut(|child| !matches!(child.try_wait(), Ok(Some(_))));
     }
 }
 
-/// Whether the process at this management address is ready, and its id; `None` where nobody answers.
+/// Whether the process at this management address is ready, and its process id; `None` if there is no answer.
 async fn health(management: SocketAddr) -> Option<(bool, Option<Pid>)> {
     let (status, body) =
         ask(management, Method::GET, "/admin/health", "", CALL_TIMEOUT).await.ok()?;
@@ -50,7 +51,7 @@
     let file = OpenOptions::new().create(true).append(true).open(&log);
     let file = file.map_err(|e| format!("{}: {e}", log.display()))?;
     Command::new(&version.program)
-        // All but these it reads from its file, whatever this process was told.
+        // Everything except the variables set below comes from the new process's file, not from this environment.
         .env_remove("LB_LISTEN")
         .env_remove("LB_DISCOVERY")
         .env_remove("LB_STATE_DIR")
@@ -60,16 +61,17 @@
         .stdin(Stdio::null())
         .stdout(Stdio::null())
         .stderr(file)
-        // Not ended by what ends the controller.
+        // In its own process group, so that a signal to the controller's group does not end it.
         .process_group(0)
         .spawn()
         .map_err(|e| format!("{}: {e}", version.program.display()))
 }
 
-/// Puts `to` in the place of `from`. May be done again after it was broken off anywhere.
+/// Replaces the process `from` by `to`. Safe to repeat after an interruption at any point.
 ///
 /// # Errors
-/// Why `to` did not get ready; then it has been stopped, and `from` serves as before.
+/// The reason why `to` did not start or become ready, in which case it has ended and `from` keeps serving; or why
+/// `from` could not be stopped.
 pub async fn replace(
     name: &str,
     from: &Version,
@@ -98,7 +100,7 @@
         tracing::info!(name, pid = child.id(), "the new process is ready");
         children.0.push(child);
     }
-    // Nobody there: it has gone before.
+    // No answer: the old process has already exited.
     let Some((_, pid)) = health(from.management).await else { return Ok(()) };
     let Some(pid) = pid else { return Err(format!("{name}: the old process tells no id")) };
     kill_process(pid, Signal::TERM).map_err(|e| format!("{name}: SIGTERM: {e}"))?;
@@ -106,11 +108,11 @@
     while Instant::now() < deadline {
         children.reap();
         if health(from.management).await.is_none() {
-            tracing::info!(name, "the old process has gone");
+            tracing::info!(name, "the old process has exited");
             return Ok(());
         }
         sleep(POLL_INTERVAL).await;
     }
-    tracing::warn!(name, "the old process still finishes what it has taken");
+    tracing::warn!(name, "the old process is still finishing its requests");
     Ok(())
 }
--- a/src/release/control.rs
+++ b/src/release/control.rs
@@ -1,7 +1,8 @@
-//! How operators talk to a release: calls at the controller's management address, and the commands that make them.
+//! Operator interface of a release: the calls at the controller's management address, and the client side of the
+//! commands that make them.
 //!
-//! `GET /admin/release` tells its status; `POST /admin/release/halt`, `/resume` and `/rollback` are answered 200 once
-//! the word is on disk, 409 where it can't be carried out any more.
+//! `GET /admin/release` returns the status. `POST /admin/release/halt`, `/resume` and `/rollback` are answered 200 once
+//! the command is stored on disk, and 409 if the release has already ended or the command can't be stored.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,10 +17,10 @@
 use super::state;
 use crate::calls::{self, Call, LIMIT, Reply, ask, error, say};
 
-/// How long a call to the controller may take.
+/// Time limit of a call to the controller.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Answers calls until the task is dropped.
+/// Answers operators' calls until the task is dropped.
 pub async fn serve(listener: TcpListener, release: Rc<Release>) {
     calls::serve(
         listener,
@@ -50,7 +51,7 @@
     }
 }
 
-/// A status as lines for people: one for the release, one for each stage.
+/// Formats a status as text: one line for the release and one for each stage.
 pub fn format_status(status: &Value) -> String {
     let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
     let mut lines = format!("{}: {}", text(&status["name"]), text(&status["step"]));
@@ -74,10 +75,10 @@
     lines
 }
 
-/// The status from the controller, or from what it kept where none runs.
+/// The status from the controller or, if none answers, from the stored state.
 ///
 /// # Errors
-/// What stands in the way of both.
+/// The reason why the answer or the stored state can't be read.
 pub async fn fetch_status(plan: &Plan) -> Result<Value, String> {
     if let Ok((StatusCode::OK, body)) =
         ask(plan.management, Method::GET, "/admin/release", "", CALL_TIMEOUT).await
@@ -90,10 +91,10 @@
     Ok(status)
 }
 
-/// Gives the controller a word, and tells the status after it.
+/// Sends the controller a command (`halt`, `resume` or `rollback`) and returns the status after it.
 ///
 /// # Errors
-/// Why it was not taken.
+/// The reason why the controller could not be reached or refused the command.
 pub async fn send_command(plan: &Plan, command: &str) -> Result<Value, String> {
     let path = format!("/admin/release/{command}");
     let answer = ask(plan.management, Method::POST, &path, "", CALL_TIMEOUT).await;
--- a/src/release/controller.rs
+++ b/src/release/controller.rs
@@ -1,6 +1,9 @@
-//! The release's decisions: advance, hold, halt, roll back. Pure: told what was done and seen, by the time since it
-//! was told last; it answers what to do. Each change of [`State`] is to be on disk before what it calls for is done,
-//! and everything it calls for may be done twice: so a controller that was killed goes on where it stood.
+//! The decisions of a release: advance, hold, halt, roll back. Performs no I/O and reads no clock: the caller reports
+//! completed moves, observations with the time elapsed between them, and operator commands, and asks for the next
+//! [`Action`].
+//!
+//! The caller must store every change of [`State`] on disk before it carries out the action that follows from it.
+//! Every action may be carried out twice. A controller that was killed can therefore resume from the stored state.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -10,83 +13,83 @@
 use super::gates::{GateVerdict, Gates, Observation, evaluate};
 use super::plan::{OnFailure, Plan};
 
-/// Where a release stands.
+/// The current step of a release.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Step {
-    /// The old version is measured before anything is touched.
+    /// The old version is measured before any target is moved.
     Measuring,
     /// The targets of the stage are being moved to the new version.
     Moving,
-    /// The stage is watched.
+    /// The targets of the stage have been moved and are checked against the gates for the bake time.
     Baking,
-    /// Nothing happens until a word.
+    /// Suspended until an operator command.
     Halted {
-        /// Why.
+        /// Reason for the halt.
         why: String,
-        /// What a resume goes back to.
+        /// The step that a resume returns to.
         then: Box<Step>,
     },
-    /// All targets touched so far are being moved back.
+    /// The targets of all stages started so far are being moved back to the old version.
     Reverting {
-        /// Why.
+        /// Reason for the rollback.
         why: String,
     },
-    /// All is on the new version.
+    /// All targets run the new version.
     Done,
-    /// All is on the old version again.
+    /// All targets run the old version again.
     RolledBack {
-        /// Why.
+        /// Reason for the rollback.
         why: String,
     },
 }
 
 impl Step {
-    /// Whether nothing is left to do.
+    /// Whether the release has ended.
     pub fn is_over(&self) -> bool {
         matches!(self, Step::Done | Step::RolledBack { .. })
     }
 }
 
-/// What is kept of a release.
+/// The stored state of a release.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct State {
-    /// The plan's name: a state is of one release only.
+    /// The plan's name. A state is valid for this release only.
     pub name: String,
-    /// The stage under way, from 0.
+    /// Index of the current stage, from 0.
     pub stage: usize,
-    /// Where it stands.
+    /// The current step.
     pub step: Step,
-    /// The p99 of the stage before, in microseconds.
+    /// Baseline p99 latency in microseconds, from the previous stage or, for the first, from the old version.
     pub p99: Option<f64>,
 }
 
-/// What an operator may say.
+/// A command of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorCommand {
-    /// Stop where it is.
+    /// Suspend the release at its current step.
     Halt,
-    /// Go on.
+    /// Continue a halted release.
     Resume,
-    /// Go back.
+    /// Move all targets back to the old version.
     Rollback,
 }
 
-/// What is to be done now.
+/// The next thing for the caller of the controller to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Move these targets to the new version, and tell when it is done.
+    /// Move these targets to the new version and report the result.
     Upgrade(Range<usize>),
-    /// Move these back to the old one, and tell when it is done.
+    /// Move these targets back to the old version and report the result.
     Revert(Range<usize>),
-    /// Look at the figures, and tell what they show.
+    /// Read the metrics and report an observation.
     Observe,
-    /// Wait for a word.
+    /// Wait for an operator command.
     Wait,
-    /// It is over.
+    /// End: the release is done or rolled back.
     Finish,
 }
 
-/// One release.
+/// State machine of one release.
 #[derive(Debug)]
 pub struct Controller {
     stage_targets: Vec<Range<usize>>,
@@ -94,14 +97,15 @@
     bake: Duration,
     on_failure: OnFailure,
     state: State,
-    /// How long the present step has been watched by this process.
+    /// How long this process has observed the current step.
     observed_for: Duration,
-    /// Why a stage that has baked is held.
+    /// Why the stage is held although its bake time has passed.
     hold_reason: Option<String>,
 }
 
 impl Controller {
-    /// A release of this plan from the start, or from where `state` stands.
+    /// A release of `plan`, resumed from `state`. Starts from the beginning if there is no state or its stage is not
+    /// in the plan.
     pub fn new(plan: &Plan, state: Option<State>) -> Self {
         let initial =
             || State { name: plan.name.clone(), stage: 0, step: Step::Measuring, p99: None };
@@ -116,27 +120,27 @@
         }
     }
 
-    /// Where it stands.
+    /// The current state, to be stored before the next action.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// Why a stage that has baked is not done yet.
+    /// Why the stage is held although its bake time has passed; `None` if it is not held.
     pub fn hold_reason(&self) -> Option<&str> {
         self.hold_reason.as_deref()
     }
 
-    /// The targets of a stage, as a range of the plan's order.
+    /// The targets that `stage` adds, as indices in plan order; empty for an unknown stage.
     pub fn targets_of_stage(&self, stage: usize) -> Range<usize> {
         self.stage_targets.get(stage).cloned().unwrap_or(0..0)
     }
 
-    /// All targets that have been touched.
+    /// The targets of the current and all earlier stages: those that may have been moved.
     fn started_targets(&self) -> Range<usize> {
         0..self.targets_of_stage(self.state.stage).end
     }
 
-    /// What to do now.
+    /// The action for the current step.
     pub fn action(&self) -> Action {
         match &self.state.step {
             Step::Moving => Action::Upgrade(self.targets_of_stage(self.state.stage)),
@@ -151,7 +155,8 @@
         (self.state.step, self.observed_for, self.hold_reason) = (step, Duration::ZERO, None);
     }
 
-    /// What `action` asked to move has been moved. Of no effect where a word has changed what is to be done.
+    /// Reports that the targets of `action` have been moved. Ignored if an operator command has changed the action
+    /// since.
     pub fn move_completed(&mut self, action: &Action) {
         if self.action() != *action {
             return;
@@ -166,14 +171,15 @@
         }
     }
 
-    /// It could not be moved.
+    /// Reports that the targets of `action` could not be moved, and why. Ignored if an operator command has changed
+    /// the action since.
     pub fn move_failed(&mut self, action: &Action, why: String) {
         if self.action() != *action {
             return;
         }
         match &self.state.step {
             Step::Moving => self.stage_failed(why),
-            // There is no way but back: it is tried again when told so.
+            // A failed rollback can only be retried, and is on the next resume or rollback command.
             Step::Reverting { why: rollback_reason } => {
                 let then = Box::new(Step::Reverting { why: rollback_reason.clone() });
                 self.enter(Step::Halted { why, then });
@@ -192,7 +198,7 @@
         }
     }
 
-    /// What was seen since the present step began, `after` the look before.
+    /// Evaluates what was observed since the current step began; `elapsed` is the time since the previous observation.
     pub fn observe(&mut self, observation: &Observation, elapsed: Duration) {
         self.observed_for += elapsed;
         let baked = self.observed_for >= self.bake;
@@ -219,10 +225,10 @@
         }
     }
 
-    /// An operator's word. A word that changes nothing is no error; one that can't be carried out any more is.
+    /// Applies an operator command. A command that changes nothing is not an error.
     ///
     /// # Errors
-    /// Why it can't.
+    /// The reason, if the release has already ended.
     pub fn apply_command(&mut self, command: OperatorCommand) -> Result<(), &'static str> {
         let step = self.state.step.clone();
         match (command, step) {
--- a/src/release/controller/tests.rs
+++ b/src/release/controller/tests.rs
@@ -60,8 +60,8 @@
         assert_eq!(c.action(), Action::Revert(0..3));
         c.move_failed(&c.action(), "no answer".into());
         assert_eq!(c.action(), Action::Wait);
-        c.apply_command(OperatorCommand::Resume).expect("goes on");
-        assert_eq!(c.action(), Action::Revert(0..3), "there is no way but back");
+        c.apply_command(OperatorCommand::Resume).expect("resumes");
+        assert_eq!(c.action(), Action::Revert(0..3), "a failed rollback is retried");
         c.move_completed(&c.action());
         assert_eq!(c.action(), Action::Finish);
     }
@@ -79,7 +79,7 @@
     assert_eq!((c.state().stage, &c.state().step), (0, &Step::Baking));
     let mut restarted = controller(Some(c.state().clone()));
     restarted.observe(&look(0, 10_000), S / 2);
-    assert_eq!(restarted.state().step, Step::Baking, "its own bake has to pass");
+    assert_eq!(restarted.state().step, Step::Baking, "the bake time starts again after a restart");
     restarted.observe(&look(0, 10_000), S / 2);
     assert_eq!((restarted.state().stage, restarted.action()), (1, Action::Upgrade(1..3)));
 }
@@ -89,18 +89,18 @@
     let mut c = controller(None);
     c.observe(&look(0, 10_000), S);
     c.apply_command(OperatorCommand::Halt).expect("halts");
-    c.apply_command(OperatorCommand::Halt).expect("no error twice");
+    c.apply_command(OperatorCommand::Halt).expect("a repeated halt is no error");
     assert_eq!(c.action(), Action::Wait);
     c.observe(&look(200, 10_000), S);
     c.apply_command(OperatorCommand::Resume).expect("resumes");
-    assert_eq!(c.action(), Action::Upgrade(0..1), "half done is done again");
-    c.apply_command(OperatorCommand::Rollback).expect("goes back");
+    assert_eq!(c.action(), Action::Upgrade(0..1), "an interrupted move is repeated");
+    c.apply_command(OperatorCommand::Rollback).expect("rolls back");
     assert_eq!(c.action(), Action::Revert(0..1));
     c.move_completed(&Action::Upgrade(0..1));
     assert_eq!(
         c.action(),
         Action::Revert(0..1),
-        "what was moved before the word is no answer to it"
+        "completion of an action from before the command is ignored"
     );
     c.move_completed(&Action::Revert(0..1));
     assert!(matches!(c.state().step, Step::RolledBack { .. }));
--- a/src/release/driver.rs
+++ b/src/release/driver.rs
@@ -1,4 +1,5 @@
-//! Carries a release out: moves targets, looks at figures, and keeps the state before every step of it.
+//! Carries out the actions of the [`Controller`]: moves targets, reads the metrics, and stores the state before each
+//! step.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -21,22 +22,23 @@
 use crate::discovery::member::Member;
 use crate::lease::client::Duty;
 
-/// How long a write to the list service may take before it is tried again.
+/// Time limit of one write to the list service, after which it is retried.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Wait before going on after a write that could not be made.
+/// Delay before a move that could not be completed is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Why targets were not moved.
+/// Why a target was not moved.
 enum MoveError {
-    /// Nobody decided, the duty is another's, or a word came in between: to be tried again, if still asked for.
+    /// No list service instance decided, the duty is held by another controller, or an operator command arrived.
+    /// Retried if the controller still requests it.
     Retry(String),
-    /// It will not be: the release has failed.
+    /// A retry would not help; the stage or the rollback has failed.
     Permanent(String),
 }
 
-/// One release under way.
+/// A release in progress.
 pub struct Release {
-    /// Its plan.
+    /// The plan that is carried out.
     pub plan: Plan,
     controller: RefCell<Controller>,
     store: RefCell<StateStore>,
@@ -47,10 +49,10 @@
 }
 
 impl Release {
-    /// Opens the plan's state directory: a release that was under way goes on where it stood.
+    /// Opens the plan's state directory and resumes the release from the state stored there, if any.
     ///
     /// # Errors
-    /// [`StateError`].
+    /// [`StateError`] if the stored state can't be read or belongs to another release.
     pub fn open(plan: Plan) -> Result<Rc<Self>, StateError> {
         let (store, state) = StateStore::open(&plan.state_dir, &plan.name)?;
         if let Some(state) = &state {
@@ -74,10 +76,10 @@
         }))
     }
 
-    /// Carries it out to its end, and says where that is.
+    /// Runs the release to its end and returns the final step.
     ///
     /// # Errors
-    /// [`StateError`]: what can't be kept is not done.
+    /// [`StateError`] if a state can't be stored; the action that depends on it is not carried out.
     pub async fn run(self: Rc<Self>) -> Result<Step, StateError> {
         let lease_task = self
             .duty
@@ -91,7 +93,7 @@
             self.store_state()?;
             let state = self.controller.borrow().state().clone();
             if step.as_ref() != Some(&state.step) {
-                tracing::info!(stage = state.stage + 1, step = ?state.step, "release");
+                tracing::info!(stage = state.stage + 1, step = ?state.step, "release step entered");
                 window.restart();
                 observed_at = Instant::now();
                 step = Some(state.step.clone());
@@ -105,7 +107,7 @@
                 return Ok(state.step);
             }
             if self.duty.as_ref().is_some_and(|d| d.token().is_none()) {
-                // Another controller's, or not granted yet.
+                // The duty is held by another controller or not granted yet.
                 sleep(RETRY_DELAY / 4).await;
                 continue;
             }
@@ -132,7 +134,7 @@
                         Err(MoveError::Permanent(why)) => controller.move_failed(&action, why),
                         Err(MoveError::Retry(why)) => {
                             drop(controller);
-                            tracing::warn!(why, "not moved yet");
+                            tracing::warn!(why, "targets not moved yet; will retry");
                             sleep(RETRY_DELAY).await;
                         }
                     }
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Has the state on disk, if it has changed since it was last.
+    /// Stores the state on disk if it has changed since it was last stored.
     fn store_state(&self) -> Result<(), StateError> {
         let state = self.controller.borrow().state().clone();
         let mut last_stored = self.last_stored.borrow_mut();
@@ -152,10 +154,10 @@
         Ok(())
     }
 
-    /// An operator's word, kept before it is answered.
+    /// Applies an operator command and stores the resulting state before returning.
     ///
     /// # Errors
-    /// Why it can't be carried out, or kept.
+    /// The reason, if the release has already ended or the state can't be stored.
     pub fn apply_command(&self, command: OperatorCommand) -> Result<(), String> {
         self.controller.borrow_mut().apply_command(command)?;
         self.store_state().map_err(|e| e.to_string())?;
@@ -163,7 +165,7 @@
         Ok(())
     }
 
-    /// The release as operators read it.
+    /// The status that operators see: that of the state, with the reason for a hold and the duty's token.
     pub fn status(&self) -> Value {
         let controller = self.controller.borrow();
         let mut status = status(&self.plan, Some(controller.state()));
@@ -204,7 +206,7 @@
                 return Err(MoveError::Retry("a word came in between".into()));
             }
             if let Some(upstream) = self.plan.upstreams.get(i) {
-                // First the one that serves from now on: capacity is never missing.
+                // The member that is to serve is activated before the other drains, so that capacity never drops.
                 if forward {
                     self.register(&upstream.new).await?;
                     self.set_phase(&upstream.old, "DRAINING").await?;
@@ -229,7 +231,7 @@
     async fn register(&self, member: &Member) -> Result<(), MoveError> {
         let mut member = member.clone();
         if member.up_since_ms == 0.0 {
-            // It has just started: the bank must not push it over while it is cold.
+            // Marks the member as just started, so that the fleet does not overload it while it is cold.
             let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
             member.up_since_ms = now.as_millis() as f64;
         }
@@ -239,12 +241,12 @@
     async fn set_phase(&self, id: &str, phase: &str) -> Result<(), MoveError> {
         let body = json!({"id": id, "phase": phase});
         if !self.write("/admin/members/phase", body).await? {
-            tracing::warn!(id, phase, "no such member: left aside");
+            tracing::warn!(id, phase, "no such member; phase change ignored");
         }
         Ok(())
     }
 
-    /// One write under the duty's token; false where there is no such member.
+    /// Makes one write to the list service, fenced with the duty's token; `false` if there is no such member.
     async fn write(&self, path: &str, mut body: Value) -> Result<bool, MoveError> {
         let (Some(duty), Some(instances)) = (&self.duty, &self.instances) else {
             return Err(MoveError::Permanent("no list service".into()));
@@ -265,7 +267,8 @@
     }
 }
 
-/// The release as its state tells it: of each stage its number, share, targets and state.
+/// The status of a release from its stored state; each stage with its number, cumulative percentage, number of targets
+/// and state.
 pub fn status(plan: &Plan, state: Option<&State>) -> Value {
     let current_stage = state.map_or(0, |s| s.stage);
     let (step, why) = match state.map(|s| &s.step) {
--- a/src/release/figures.rs
+++ b/src/release/figures.rs
@@ -1,4 +1,4 @@
-//! What the proxies' figures show, added up over all of them since some moment.
+//! Reads the proxies' metrics and sums their increase since the start of a window.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -10,21 +10,22 @@
 use super::gates::{Observation, TrafficStats};
 use crate::calls::ask;
 
-/// How long one proxy may take to answer.
+/// Time limit for one proxy to answer.
 const SCRAPE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One proxy's counts as scraped: by name and labels, and by bucket of a histogram.
+/// One proxy's counts from a scrape, by name, by `end` label (`latency` for a histogram), and by the bucket's upper
+/// bound in microseconds (0 for a counter).
 pub type Counts = BTreeMap<(String, String, u64), u64>;
 
-/// A label's value, or nothing.
+/// A label's value, or an empty string if there is none.
 fn label<'a>(sample: &'a prometheus_parse::Sample, name: &str) -> &'a str {
     sample.labels.get(name).unwrap_or("")
 }
 
-/// Reads a scrape. Metrics that are not ours are left aside.
+/// Parses a scrape in the Prometheus text format. Metrics that a release does not use are ignored.
 ///
 /// # Errors
-/// What is no Prometheus text.
+/// An error of the parser.
 pub fn parse_metrics(text: &str) -> std::io::Result<Counts> {
     let scrape = Scrape::parse(text.lines().map(|l| Ok(l.to_owned())))?;
     let mut counts = Counts::new();
@@ -51,7 +52,7 @@
     Ok(counts)
 }
 
-/// Counts added up since it was made.
+/// Increase of each proxy's counts since the window was created or restarted.
 #[derive(Debug, Default)]
 pub struct Window {
     last: BTreeMap<SocketAddr, Counts>,
@@ -59,14 +60,14 @@
 }
 
 impl Window {
-    /// Takes a proxy's counts in. What it counted before its first word here does not count; after a restart it
-    /// counts from nothing.
+    /// Adds the increase of a proxy's counts since its previous scrape. The first scrape of a proxy only sets the
+    /// baseline; after a restart of the proxy, its counts start from zero.
     pub fn record(&mut self, proxy: SocketAddr, counts: Counts) {
         let sums = self.sums.entry(proxy).or_default();
         if let Some(last) = self.last.get(&proxy) {
             for (key, &now) in &counts {
                 let previous = last.get(key).copied().unwrap_or(0);
-                // Lower than before: the process is another one.
+                // Lower than before: the proxy was restarted.
                 let increase = now.checked_sub(previous).unwrap_or(now);
                 *sums.entry(key.clone()).or_default() += increase;
             }
@@ -74,12 +75,12 @@
         self.last.insert(proxy, counts);
     }
 
-    /// Counts from now on, from what the proxies said last.
+    /// Starts a new window at each proxy's last scrape.
     pub fn restart(&mut self) {
         self.sums.clear();
     }
 
-    /// Asks each proxy and takes in what it says; the number that said nothing.
+    /// Scrapes each proxy and records its counts. Returns the number of proxies without a usable answer.
     pub async fn scrape(&mut self, proxies: &[SocketAddr]) -> usize {
         let mut unavailable = 0;
         for &proxy in proxies {
@@ -89,17 +90,17 @@
                         Ok(counts) => self.record(proxy, counts),
                         Err(cause) => {
                             unavailable += 1;
-                            tracing::warn!(%proxy, %cause, "figures that can't be read");
+                            tracing::warn!(%proxy, %cause, "metrics could not be parsed");
                         }
                     }
                 }
                 Ok((status, _)) => {
                     unavailable += 1;
-                    tracing::warn!(%proxy, %status, "no figures");
+                    tracing::warn!(%proxy, %status, "metrics request was not answered with 200");
                 }
                 Err(cause) => {
                     unavailable += 1;
-                    tracing::debug!(%cause, "no figures");
+                    tracing::debug!(%cause, "metrics request failed");
                 }
             }
         }
@@ -114,7 +115,8 @@
             }
             match end.as_str() {
                 "latency" => *stats.latencies.0.entry(*bound).or_default() += n,
-                // Turned away unseen: the proxy tries elsewhere, and it tells of load, not of the version.
+                // Refused before processing: the proxy tries another upstream, and a refusal says something about
+                // load, not about the version.
                 "refused" => {}
                 _ => {
                     stats.attempts += n;
@@ -125,6 +127,7 @@
         stats
     }
 
+    /// Requests that ended `ok`, `shed` and in `errors`, summed over `proxies`.
     fn request_counts(&self, proxies: &[SocketAddr]) -> (u64, u64, u64) {
         let mut totals = [0; 3];
         for counts in proxies.iter().filter_map(|p| self.sums.get(p)) {
@@ -136,7 +139,8 @@
         (totals[0], totals[1], totals[2])
     }
 
-    /// What was seen of upstreams: the new ones, and those they take the place of.
+    /// Observation of a release of upstreams, from the ids of the new members and of the old ones still to be
+    /// replaced.
     pub fn upstream_observation(&self, new: &HashSet<&str>, old: &HashSet<&str>) -> Observation {
         let proxies: Vec<SocketAddr> = self.sums.keys().copied().collect();
         let (ok, refused, errors) = self.request_counts(&proxies);
@@ -148,7 +152,8 @@
         }
     }
 
-    /// What was seen of balancers: their requests count, refusals apart; the time is that of their attempts.
+    /// Observation of a release of balancers, from their management addresses. Counts their requests, without
+    /// refusals; the latencies are those of their attempts at upstreams.
     pub fn balancer_observation(&self, new: &[SocketAddr], old: &[SocketAddr]) -> Observation {
         let stats_of = |proxies: &[SocketAddr]| {
             let (ok, _, errors) = self.request_counts(proxies);
--- a/src/release/gates.rs
+++ b/src/release/gates.rs
@@ -1,4 +1,4 @@
-//! What a stage must keep to, and the judgement of what was seen of it. Pure.
+//! The health gates of a stage, and their evaluation against what was observed of it. Performs no I/O.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +8,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Gates {
-    /// The largest share of attempts at the new version that may fail.
+    /// Maximum share of attempts at the new version that may fail, 0 to 1.
     pub error_share: f64,
-    /// The most that the new version's p99 latency may be of that of the stage before (for the first stage, of the
-    /// old version's).
+    /// Maximum ratio of the new version's p99 latency to that of the previous stage (for the first stage, to that of
+    /// the old version).
     pub p99_ratio: f64,
-    /// The largest share of requests that the proxies may refuse.
+    /// Maximum share of requests that the proxies may refuse, 0 to 1.
     pub refused_share: f64,
-    /// Attempts that must have been seen before anything is judged; p99 needs five times as many.
+    /// Minimum number of attempts before a stage is evaluated; the p99 needs five times as many.
     pub min_requests: u64,
 }
 
@@ -26,29 +26,29 @@
 }
 
 impl Gates {
-    /// A figure that can't be one, by its key.
+    /// The key of the first value that is out of range, and the allowed range.
     pub fn fault(&self) -> Option<(&'static str, &'static str)> {
         let share = |s: f64| (0.0..=1.0).contains(&s);
         if !share(self.error_share) {
-            return Some(("error_share", "a share, 0 to 1"));
+            return Some(("error_share", "must be a share from 0 to 1"));
         }
         if !share(self.refused_share) {
-            return Some(("refused_share", "a share, 0 to 1"));
+            return Some(("refused_share", "must be a share from 0 to 1"));
         }
         if self.p99_ratio.is_nan() || self.p99_ratio < 1.0 {
-            return Some(("p99_ratio", "at least 1"));
+            return Some(("p99_ratio", "must be at least 1"));
         }
         (self.min_requests == 0).then_some(("min_requests", "must be at least 1"))
     }
 }
 
-/// Latencies as counts below upper bounds in microseconds, cumulative as Prometheus has them.
+/// A cumulative latency histogram as in Prometheus: upper bound in microseconds, to the count at or below it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Latencies(pub BTreeMap<u64, u64>);
 
 impl Latencies {
-    /// The 99th percentile in microseconds, within its bucket by proportion; `None` with nothing counted. What
-    /// lies beyond the last bound is taken as that bound.
+    /// The 99th percentile in microseconds, interpolated linearly within its bucket; `None` if nothing was counted.
+    /// Latencies above the last bound are counted as that bound.
     pub fn p99(&self) -> Option<f64> {
         let total = *self.0.values().last()?;
         if total == 0 {
@@ -69,46 +69,47 @@
     }
 }
 
-/// Attempts at one set of upstreams, or requests at one set of balancers.
+/// Counts of the attempts at a set of upstreams, or of the requests at a set of balancers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TrafficStats {
-    /// That ended in any way that tells of them.
+    /// Those that ended, except refusals: a refusal says something about load, not about the version.
     pub attempts: u64,
-    /// Of those, that failed or found nobody there.
+    /// Of those, the ones that failed or could not reach the target.
     pub errors: u64,
-    /// Of those that were served or timed out.
+    /// Latencies of those that were served or timed out.
     pub latencies: Latencies,
 }
 
-/// What was seen since a stage began to bake.
+/// What was observed since the current step of a release began.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Observation {
-    /// The new version.
+    /// Traffic of the targets on the new version.
     pub new: TrafficStats,
-    /// What it takes the place of.
+    /// Traffic of the targets still on the old version.
     pub old: TrafficStats,
     /// Requests that ended at the proxies.
     pub requests: u64,
-    /// Of those, refused.
+    /// Of those, the ones that the proxies refused.
     pub refused: u64,
 }
 
-/// What a look at the figures says.
+/// Verdict of the gates on a stage.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GateVerdict {
-    /// Too little was seen.
+    /// Too few attempts were observed; states how many are needed.
     Inconclusive(String),
-    /// It keeps to all gates; with the p99 it shows, in microseconds.
+    /// All gates hold; the measured p99 in microseconds, if any.
     Passed(Option<f64>),
-    /// It does not.
+    /// A gate does not hold; states which and by how much.
     Failed(String),
 }
 
-/// So few attempts say something once a stage has baked: proxies soon leave an upstream alone that nobody reaches.
+/// After the bake time, this many attempts are enough to fail a stage if more than half of them failed. Proxies soon
+/// stop sending to an upstream that can't be reached, so it may never get `min_requests` attempts.
 const MIN_ATTEMPTS_AFTER_BAKE: u64 = 3;
 
-/// Judges a stage against the p99 of the stage before, in microseconds, where that is known. `baked`: no more is to be
-/// expected.
+/// Evaluates a stage. `baseline_p99` is the p99 of the previous stage in microseconds; if unknown, the old version's
+/// p99 in the same observation is used. `baked`: the bake time has passed, so no further attempts are expected.
 pub fn evaluate(
     gates: &Gates,
     observation: &Observation,
@@ -145,7 +146,7 @@
             baseline_p99 / 1e3
         ));
     }
-    // Without a p99 to compare, errors and refusals are all there is.
+    // Without a measured p99, only errors and refusals are evaluated.
     let needed = if p99.is_some() { 5 * min_requests } else { min_requests };
     if new.attempts < needed {
         return GateVerdict::Inconclusive(format!("{} of {needed} attempts seen", new.attempts));
--- a/src/release/gates/tests.rs
+++ b/src/release/gates/tests.rs
@@ -33,7 +33,7 @@
     let gone = Observation { new: seen(4, 4, 1), ..Observation::default() };
     assert!(matches!(evaluate(&gates, &gone, None, false), GateVerdict::Inconclusive(_)));
     assert!(matches!(evaluate(&gates, &gone, None, true), GateVerdict::Failed(_)));
-    // Before the first stage there is only the old version to compare with, in the same window.
+    // Without a baseline, the p99 is compared with that of the old version in the same observation.
     let slower =
         Observation { new: seen(200, 0, 50), old: seen(200, 0, 5), ..Observation::default() };
     assert!(matches!(evaluate(&gates, &slower, None, false), GateVerdict::Failed(_)));
@@ -46,9 +46,9 @@
     assert_eq!(some.p99(), Some(1900.0));
 }
 
-/// Answers of 10 ms and an exponential rest with this mean, drawn anew.
+/// Histogram of `count` random latencies: 10 ms plus `slower_ms`, plus an exponential part with a mean of 2 ms.
 fn sample_latencies(rng: &mut StdRng, slower_ms: f64, count: u64) -> Latencies {
-    // As the proxies' figures have them: each bound a third above the one before.
+    // The same buckets as in the proxies' metrics: each bound is a third above the previous one.
     let mut bounds: BTreeMap<u64, u64> =
         (0..35).map(|i| ((1000.0 * f64::powi(4.0 / 3.0, i)) as u64, 0)).collect();
     for _ in 0..count {
@@ -62,7 +62,7 @@
 #[test]
 fn equal_latency_always_passes_and_a_slow_version_never_does() {
     let gates = Gates::default();
-    // As few answers as are judged at all, and the stage before from no more.
+    // The fewest attempts that a p99 is evaluated with, in this stage and the previous one.
     let fewest = gates.min_requests * 5;
     let judged = |rng: &mut StdRng, slower_ms: f64| {
         let before = sample_latencies(rng, 0.0, fewest).p99();
--- a/src/release/mod.rs
+++ b/src/release/mod.rs
@@ -1,9 +1,9 @@
-//! Staged releases, of upstreams and of the balancer itself, with a halt and a way back.
+//! Staged releases of upstreams and of the balancer itself, with halt and rollback.
 //!
-//! [`plan`] is the file; [`gates`] judges what was seen of a stage and [`controller`] decides: advance, hold, halt,
-//! roll back (both pure). [`figures`] reads the proxies' figures, [`state`] keeps the release's state on disk,
-//! [`balancers`] replaces one balancer by another process, [`driver`] carries the decisions out, and [`control`] is
-//! how operators talk to it.
+//! [`plan`] reads the plan file. [`gates`] evaluates what was observed of a stage and [`controller`] decides to
+//! advance, hold, halt or roll back; both perform no I/O. [`figures`] reads the proxies' metrics, [`state`] stores the
+//! release's state on disk, [`balancers`] replaces a balancer process, [`driver`] carries out the decisions, and
+//! [`control`] is the interface for operators.
 
 pub mod balancers;
 pub mod control;
--- a/src/release/plan.rs
+++ b/src/release/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of a release: a TOML file, documented in README.
+//! The plan of a release, a TOML file; README documents its keys.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -10,85 +10,86 @@
 use crate::configuration::{self, ConfigError};
 use crate::discovery::member::Member;
 
-/// `release start --config FILE`.
+/// The file named by `release start --config FILE`.
 #[derive(Debug, Deserialize)]
 pub struct Plan {
-    /// Its name, also that of its duty, `release/NAME`.
+    /// Name of the release; its duty is `release/NAME`.
     pub name: String,
-    /// Where the controller takes `status`, `halt`, `resume` and `rollback`.
+    /// Address where the controller accepts `status`, `halt`, `resume` and `rollback`.
     pub management: SocketAddr,
-    /// Where the release's state is kept.
+    /// Directory of the release's stored state.
     pub state_dir: PathBuf,
-    /// Management addresses of the list service's instances; for upstreams, there must be one.
+    /// Management addresses of the list service's instances; at least one is required to release upstreams.
     #[serde(default)]
     pub services: Vec<SocketAddr>,
-    /// Management addresses of the proxies whose figures are the gates'; for balancers, their own are added.
+    /// Management addresses of the proxies whose metrics the gates evaluate; a release of balancers uses those of
+    /// the balancers instead.
     #[serde(default)]
     pub proxies: Vec<SocketAddr>,
-    /// Share of the targets done by the end of each stage, in percent, rising, the last 100.
+    /// Cumulative percentage of targets moved by the end of each stage: rising, the last 100.
     pub stages: Vec<u32>,
-    /// Milliseconds each stage is watched before the next begins, at least.
+    /// Minimum time each stage is observed before the next begins, in milliseconds.
     #[serde(default = "bake_ms")]
     pub bake_ms: u64,
-    /// Milliseconds between two looks at the figures.
+    /// Interval between reads of the metrics, in milliseconds.
     #[serde(default = "poll_ms")]
     pub poll_ms: u64,
     /// TTL of the controller's duty, in milliseconds.
     #[serde(default = "ttl_ms")]
     pub ttl_ms: u64,
-    /// What a stage must keep to.
+    /// The health gates of every stage.
     #[serde(default)]
     pub gates: Gates,
-    /// What a failed gate does.
+    /// What happens when a gate or a move fails.
     #[serde(default)]
     pub on_failure: OnFailure,
-    /// The upstreams to replace, in the order they are taken.
+    /// The upstreams to replace, in order.
     #[serde(default)]
     pub upstreams: Vec<Upstream>,
-    /// Or the balancers.
+    /// The balancers to replace, in order; a plan lists either upstreams or balancers.
     #[serde(default)]
     pub balancers: Vec<Balancer>,
 }
 
-/// What a failed gate does.
+/// What happens when a gate or a move fails.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OnFailure {
-    /// Halts and goes back.
+    /// Rolls back all targets moved so far.
     #[default]
     Rollback,
-    /// Halts and waits for a word.
+    /// Halts and waits for an operator command.
     Halt,
 }
 
-/// One upstream by another.
+/// The replacement of one upstream by another.
 #[derive(Debug, Deserialize)]
 pub struct Upstream {
-    /// The id of the member that drains.
+    /// Id of the member that is drained.
     pub old: String,
     /// The member that serves in its place.
     pub new: Member,
 }
 
-/// One balancer by another process at the same addresses for clients.
+/// The replacement of one balancer by another process at the same client addresses.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Balancer {
-    /// Its name (`LB_NAME`).
+    /// Name of the balancer (`LB_NAME`).
     pub name: String,
-    /// The process that runs.
+    /// The running process.
     pub old: Version,
-    /// The one that takes over.
+    /// The process that replaces it.
     pub new: Version,
 }
 
 /// How a balancer is started.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Version {
-    /// The program.
+    /// Path of the executable.
     pub program: PathBuf,
-    /// Its `LB_CONFIG`.
+    /// Its configuration file (`LB_CONFIG`).
     pub config: PathBuf,
-    /// Its management address, not that of the process that it replaces.
+    /// Its management address; must differ between the old and the new process, which run side by side.
     pub management: SocketAddr,
 }
 
@@ -103,11 +104,11 @@
 }
 
 impl Plan {
-    /// Reads and checks the file.
+    /// Reads and validates the file.
     ///
     /// # Errors
-    /// What [`configuration::load`] refuses, and [`ConfigError::Invalid`] for stages that are empty, do not
-    /// rise or do not end at 100, targets that are none or of both kinds or listed twice, and addresses that
+    /// Those of [`configuration::load`], and [`ConfigError::Invalid`] for a value out of range, stages that are empty,
+    /// do not rise or do not end at 100, targets that are missing, of both kinds or listed twice, and addresses that
     /// are missing or shared.
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
         let plan: Self = configuration::load(path)?;
@@ -121,10 +122,10 @@
         let fault = |key: &str, cause| Some((key.to_owned(), cause));
         let rising = self.stages.windows(2).all(|w| w[0] < w[1]);
         if self.stages.last() != Some(&100) || !rising || self.stages.first() == Some(&0) {
-            return fault("stages", "rising percentages above 0 that end at 100");
+            return fault("stages", "must be rising percentages above 0 that end at 100");
         }
         if self.name.is_empty() || self.name.len() > 200 {
-            return fault("name", "1 to 200 bytes");
+            return fault("name", "must be 1 to 200 bytes long");
         }
         if self.poll_ms == 0 {
             return fault("poll_ms", "must be at least 1");
@@ -133,22 +134,25 @@
             return Some((format!("gates.{key}"), cause));
         }
         match (self.upstreams.is_empty(), self.balancers.is_empty()) {
-            (true, true) => return fault("upstreams", "there is nothing to release"),
+            (true, true) => return fault("upstreams", "no upstreams or balancers are listed"),
             (false, false) => {
-                return fault("balancers", "one release is of upstreams or of balancers");
+                return fault("balancers", "a plan lists either upstreams or balancers, not both");
             }
             _ => {}
         }
         if !self.upstreams.is_empty() && self.services.is_empty() {
-            return fault("services", "upstreams are released through the list service");
+            return fault("services", "required to release upstreams");
         }
         if !self.upstreams.is_empty() && self.proxies.is_empty() {
-            return fault("proxies", "without their figures no gate can be judged");
+            return fault(
+                "proxies",
+                "required to release upstreams: the gates evaluate the proxies' metrics",
+            );
         }
         let mut ids = std::collections::HashSet::new();
         for (i, upstream) in self.upstreams.iter().enumerate() {
             if !ids.insert(&upstream.old) || !ids.insert(&upstream.new.id) {
-                return Some((format!("upstreams[{i}]"), "an id that stands twice"));
+                return Some((format!("upstreams[{i}]"), "duplicate id"));
             }
             if let Some((key, cause)) = upstream.new.fault() {
                 return Some((format!("upstreams[{i}].new.{key}"), cause));
@@ -156,20 +160,20 @@
         }
         for (i, balancer) in self.balancers.iter().enumerate() {
             if balancer.old.management == balancer.new.management {
-                let cause = "old and new run side by side and need an address each";
+                let cause = "must differ from old.management: both processes run side by side";
                 return Some((format!("balancers[{i}].new.management"), cause));
             }
         }
         None
     }
 
-    /// How many targets there are.
+    /// Number of targets.
     pub fn target_count(&self) -> usize {
         self.upstreams.len().max(self.balancers.len())
     }
 
-    /// The targets each stage adds, as ranges of their order: stage `i` brings the total to `stages[i]`
-    /// percent, rounded up so that no stage is empty while targets are left.
+    /// The targets that each stage adds, as ranges of indices in plan order. Stage `i` brings the total to `stages[i]`
+    /// percent, rounded up, and adds at least one target while any are left.
     pub fn stage_targets(&self) -> Vec<std::ops::Range<usize>> {
         let total = self.target_count();
         let mut start = 0;
@@ -182,7 +186,7 @@
         ranges
     }
 
-    /// How long a stage bakes, at least.
+    /// Minimum bake time of a stage.
     pub fn bake(&self) -> Duration {
         Duration::from_millis(self.bake_ms)
     }
--- a/src/release/state.rs
+++ b/src/release/state.rs
@@ -1,23 +1,23 @@
-//! The state of a release on disk: a log ([`crate::store`]) of states, the last of which holds.
+//! The stored state of a release: a log ([`crate::store`]) of states, of which the last is current.
 
 use std::path::Path;
 
 use super::controller::State;
 use crate::store::{Log, Recovery, StoreError, log};
 
-/// Bytes of log after which the last state takes the place of the rest.
+/// Log size in bytes above which the log is compacted to a snapshot of the last state.
 const COMPACT_THRESHOLD_BYTES: u64 = 1 << 20;
 
-/// Why a state is not to be had.
+/// Why a state can't be read or stored.
 #[derive(Debug, thiserror::Error)]
 pub enum StateError {
-    /// The directory.
+    /// The state directory can't be read or written, or is corrupted.
     #[error("state: {0}")]
     Store(#[from] StoreError),
-    /// It passed its checksum and is no state of this version.
+    /// The record has a valid checksum but does not hold a state of this version, or a state can't be encoded.
     #[error("state: {0}")]
     Decode(#[from] postcard::Error),
-    /// It is another release's.
+    /// The directory holds the state of another release.
     #[error("state: is of the release {0:?}; give this one a state_dir of its own")]
     Other(String),
 }
@@ -35,10 +35,10 @@
     Ok(Some(state))
 }
 
-/// What is kept of the release `name` in `dir`, without opening it for writes.
+/// Reads the stored state of the release `name` from `dir` without opening it for writes; `None` if there is none.
 ///
 /// # Errors
-/// [`StateError`].
+/// [`StateError`] if the state can't be read or belongs to another release.
 pub fn read(dir: &Path, name: &str) -> Result<Option<State>, StateError> {
     if !dir.exists() {
         return Ok(None);
@@ -47,14 +47,14 @@
     decode_last(contents.snapshot, contents.records, name)
 }
 
-/// The state of one release, open for writes.
+/// The stored state of one release, open for writes.
 pub struct StateStore(Log);
 
 impl StateStore {
-    /// Opens `dir` for the release `name`, with the state that is kept there.
+    /// Opens `dir` for the release `name` and returns it with the state stored there, if any.
     ///
     /// # Errors
-    /// [`StateError`]; [`StoreError::InUse`] while another controller has it.
+    /// [`StateError`]; with [`StoreError::InUse`] while another controller has the directory open.
     pub fn open(dir: &Path, name: &str) -> Result<(Self, Option<State>), StateError> {
         let opened = Log::open(dir, Recovery::Strict, None)?;
         let state = decode_last(opened.snapshot, opened.records, name)?;
@@ -64,7 +64,7 @@
     /// Returns once `state` is on disk.
     ///
     /// # Errors
-    /// [`StateError`]; what was kept before stands.
+    /// [`StateError`]; the previously stored state remains valid.
     pub fn store(&mut self, state: &State) -> Result<(), StateError> {
         let state = postcard::to_stdvec(state)?;
         self.0.append(&[&state])?;
