--- a/src/bin/hollowpaddle-benchlink/instance.rs
+++ b/src/bin/hollowpaddle-benchlink/instance.rs
@@ -1,4 +1,4 @@
-//! One balancer of the bank and the names its handles stand for.
+//! One balancer of the fleet, with the mapping between its numeric handles and the names on the wire.
 
 use hollowpaddle::interface::{self as d, Action, Event, Report, RequestId, ServerId, Time};
 use hollowpaddle::policy::Balancer;
@@ -7,6 +7,7 @@
 
 use crate::wire::{self, Command};
 
+/// Converts wire milliseconds to a policy time.
 pub fn time(ms: f64) -> Time {
     Time(span(ms).0)
 }
@@ -15,7 +16,7 @@
     us as f64 / 1000.0
 }
 
-/// A request that may still be named on the wire.
+/// A request that the wire may still refer to. It is removed once it has finished and has no attempt outstanding.
 struct Job {
     name: Box<str>,
     outstanding: usize,
@@ -26,7 +27,7 @@
     who: u64,
     balancer: Balancer,
     classes: usize,
-    /// Whether clients on this wire are given retry advice.
+    /// Whether the simulator's clients are given a retry delay with a refusal.
     send_retry_after: bool,
     fields: Vec<Field>,
     servers: FxHashMap<Box<str>, ServerId>,
@@ -188,7 +189,7 @@
         report
     }
 
-    /// Writes the module's actions in its order, each with a comma behind it.
+    /// Writes the policy's actions in order, each followed by a comma.
     fn write_actions(&mut self, out: &mut Vec<u8>) {
         let who = self.who;
         let mut actions = std::mem::take(&mut self.actions);
@@ -235,7 +236,7 @@
         self.actions = actions;
     }
 
-    /// Drops the name of a request that is over and has nothing out.
+    /// Removes a request that has finished and has no attempt outstanding, with its name.
     fn remove_if_finished(&mut self, handle: u64) {
         if self.jobs.get(&handle).is_some_and(|j| j.finished && j.outstanding == 0)
             && let Some(job) = self.jobs.remove(&handle)
@@ -246,7 +247,7 @@
 }
 
 fn write(out: &mut Vec<u8>, command: &Command) {
-    // Writing plain structs to memory cannot fail.
+    // Serializing these structs to memory cannot fail.
     let _ = serde_json::to_writer(&mut *out, command);
     out.push(b',');
 }
--- a/src/bin/hollowpaddle-benchlink/main.rs
+++ b/src/bin/hollowpaddle-benchlink/main.rs
@@ -1,4 +1,5 @@
-//! Hosts many balancers on the bench's wire: reads batches, writes replies, decides nothing.
+//! Adapter that runs many balancers for the simulator: reads batches of events as JSON lines from standard input and
+//! writes the balancers' actions to standard output. It makes no decisions of its own.
 
 mod instance;
 mod wire;
@@ -10,7 +11,7 @@
 use rustc_hash::FxHashMap;
 use wire::{Batch, BatchNumber, Event};
 
-/// What ends the adapter: a plain message.
+/// Message of an error that ends the adapter.
 type Failure = String;
 
 fn main() -> ExitCode {
@@ -53,7 +54,8 @@
     serde_json::from_slice(line).map_err(|_| malformed(line, last))
 }
 
-/// Reads the line again, slowly, to name the batch and the field.
+/// Error message for a line that could not be parsed. Parses it again with the slower path-tracking reader to name the
+/// batch and the field.
 fn malformed(line: &[u8], last: Option<u64>) -> Failure {
     let batch = match (serde_json::from_slice::<BatchNumber>(line), last) {
         (Ok(n), _) => format!("batch {}", n.batch),
@@ -113,7 +115,7 @@
         Event::Established(m) => m.who,
         Event::Memo(m) => m.who,
     };
-    // An instance that is down, or was never started, hears nothing.
+    // Events for an instance that is down or was never started are ignored.
     let Some(instance) = instances.get_mut(&who) else { return Ok(()) };
     match event {
         Event::Order(m) => instance.order(now, m, reply)?,
--- a/src/bin/hollowpaddle-benchlink/wire.rs
+++ b/src/bin/hollowpaddle-benchlink/wire.rs
@@ -1,4 +1,4 @@
-//! The wire's messages, borrowed from the input line.
+//! Messages of the simulator's protocol. Strings of incoming messages are borrowed from the input line where possible.
 
 use std::borrow::Cow;
 
@@ -17,7 +17,7 @@
     pub msgs: Vec<Event<'a>>,
 }
 
-/// Only the number of a batch that could not be read whole.
+/// The number of a batch that could not be parsed completely.
 #[derive(Deserialize)]
 pub struct BatchNumber {
     pub batch: u64,
