--- a/src/release/gates/tests.rs
+++ b/src/release/gates/tests.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 
-fn seen(attempts: u64, errors: u64, ms: u64) -> TrafficStats {
+fn traffic(attempts: u64, errors: u64, ms: u64) -> TrafficStats {
     let bounds = [1000, 2000, 5000, 10_000, 50_000, 100_000];
     let count = |b| if b >= ms * 1000 { attempts - errors } else { 0 };
     TrafficStats { attempts, errors, latencies: Latencies(bounds.map(|b| (b, count(b))).into()) }
@@ -14,28 +14,28 @@
 #[test]
 fn errors_refusals_and_latency_fail_a_stage_and_too_few_attempts_are_inconclusive() {
     let gates = Gates::default();
-    let look = |new: TrafficStats, before| {
+    let verdict = |new: TrafficStats, before| {
         evaluate(&gates, &Observation { new, ..Observation::default() }, before, false)
     };
-    assert!(matches!(look(seen(19, 19, 1), None), GateVerdict::Inconclusive(_)));
+    assert!(matches!(verdict(traffic(19, 19, 1), None), GateVerdict::Inconclusive(_)));
     assert!(
-        matches!(look(seen(20, 4, 1), None), GateVerdict::Failed(why) if why.contains("errors"))
+        matches!(verdict(traffic(20, 4, 1), None), GateVerdict::Failed(why) if why.contains("errors"))
     );
-    assert!(matches!(look(seen(99, 0, 1), Some(900.0)), GateVerdict::Inconclusive(_)));
-    assert!(matches!(look(seen(100, 0, 1), Some(900.0)), GateVerdict::Passed(Some(_))));
+    assert!(matches!(verdict(traffic(99, 0, 1), Some(900.0)), GateVerdict::Inconclusive(_)));
+    assert!(matches!(verdict(traffic(100, 0, 1), Some(900.0)), GateVerdict::Passed(Some(_))));
     assert!(
-        matches!(look(seen(100, 0, 50), Some(10_000.0)), GateVerdict::Failed(why) if why.contains("p99"))
+        matches!(verdict(traffic(100, 0, 50), Some(10_000.0)), GateVerdict::Failed(why) if why.contains("p99"))
     );
     let refusing = Observation { requests: 100, refused: 6, ..Observation::default() };
     assert!(
         matches!(evaluate(&gates, &refusing, None, false), GateVerdict::Failed(why) if why.contains("refusals"))
     );
-    let gone = Observation { new: seen(4, 4, 1), ..Observation::default() };
-    assert!(matches!(evaluate(&gates, &gone, None, false), GateVerdict::Inconclusive(_)));
-    assert!(matches!(evaluate(&gates, &gone, None, true), GateVerdict::Failed(_)));
+    let unreachable = Observation { new: traffic(4, 4, 1), ..Observation::default() };
+    assert!(matches!(evaluate(&gates, &unreachable, None, false), GateVerdict::Inconclusive(_)));
+    assert!(matches!(evaluate(&gates, &unreachable, None, true), GateVerdict::Failed(_)));
     // Without a baseline, the p99 is compared with that of the old version in the same observation.
     let slower =
-        Observation { new: seen(200, 0, 50), old: seen(200, 0, 5), ..Observation::default() };
+        Observation { new: traffic(200, 0, 50), old: traffic(200, 0, 5), ..Observation::default() };
     assert!(matches!(evaluate(&gates, &slower, None, false), GateVerdict::Failed(_)));
 }
 
@@ -64,7 +64,7 @@
     let gates = Gates::default();
     // The fewest attempts that a p99 is evaluated with, in this stage and the previous one.
     let fewest = gates.min_requests * 5;
-    let judged = |rng: &mut StdRng, slower_ms: f64| {
+    let evaluated = |rng: &mut StdRng, slower_ms: f64| {
         let before = sample_latencies(rng, 0.0, fewest).p99();
         let latencies = sample_latencies(rng, slower_ms, fewest);
         let new = TrafficStats { attempts: fewest, errors: 0, latencies };
@@ -72,7 +72,7 @@
     };
     for seed in 0..2_000 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let (same, slow) = (judged(&mut rng, 0.0), judged(&mut rng, 60.0));
+        let (same, slow) = (evaluated(&mut rng, 0.0), evaluated(&mut rng, 60.0));
         assert!(matches!(same, GateVerdict::Passed(Some(_))), "seed {seed}: {same:?}");
         assert!(
             matches!(&slow, GateVerdict::Failed(why) if why.contains("latency")),
