--- a/src/release/gates.rs
+++ b/src/release/gates.rs
@@ -48,7 +48,7 @@
 
 impl Latencies {
     /// The 99th percentile in microseconds, interpolated linearly within its bucket; `None` if nothing was counted.
-    /// Latencies above the last bound are counted as that bound.
+    /// Latencies above the last finite bound are not in the histogram and do not count.
     pub fn p99(&self) -> Option<f64> {
         let total = *self.0.values().last()?;
         if total == 0 {
