--- a/src/release/balancers.rs
+++ b/src/release/balancers.rs
@@ -1,6 +1,6 @@
-//! One balancer replaced by another process at the same addresses: the new one is started beside the old and, once
-//! it says that it is ready, the old one is told to stop (docs/on-call.md, "Replace it"). At no moment does nobody
-//! listen.
+//! Replaces a balancer by another process at the same client addresses. The new process is started beside the old one;
+//! once it reports ready, the old one gets SIGTERM (docs/on-call.md, "Replace it"). At every moment at least one
+//! process listens.
 
 use std::fs::OpenOptions;
 use std::net::SocketAddr;
@@ -17,39 +17,41 @@
 use super::plan::Version;
 use crate::calls::ask;
 
-/// How long a new process may take to be ready.
-const READY_WITHIN: Duration = Duration::from_secs(10);
-/// How long an old one is waited for; it ends by itself even if that takes longer.
-const GONE_WITHIN: Duration = Duration::from_secs(15);
-/// How long one call may take, and how often it is made.
-const CALL: Duration = Duration::from_secs(1);
-const EVERY: Duration = Duration::from_millis(50);
+/// Time limit for a new process to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum wait for an old process to exit. If it takes longer, it still exits by itself.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time limit of one health call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Interval between health calls.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The processes that this controller has started; they outlive it.
+/// The processes that this controller has started. They keep running when it exits.
 #[derive(Debug, Default)]
 pub struct Children(Vec<Child>);
 
 impl Children {
-    /// Takes note of those that have ended.
+    /// Reaps the processes that have exited.
     fn reap(&mut self) {
         self.0.retain_mut(|child| !matches!(child.try_wait(), Ok(Some(_))));
     }
 }
 
-/// Whether the process at this management address is ready, and its id; `None` where nobody answers.
-async fn health(at: SocketAddr) -> Option<(bool, Option<Pid>)> {
-    let (status, body) = ask(at, Method::GET, "/admin/health", "", CALL).await.ok()?;
-    let said: Value = serde_json::from_slice(&body).ok()?;
-    let pid = said["pid"].as_i64().and_then(|p| i32::try_from(p).ok()).and_then(Pid::from_raw);
+/// Whether the process at this management address is ready, and its process id; `None` if there is no answer.
+async fn health(management: SocketAddr) -> Option<(bool, Option<Pid>)> {
+    let (status, body) =
+        ask(management, Method::GET, "/admin/health", "", CALL_TIMEOUT).await.ok()?;
+    let health: Value = serde_json::from_slice(&body).ok()?;
+    let pid = health["pid"].as_i64().and_then(|p| i32::try_from(p).ok()).and_then(Pid::from_raw);
     Some((status == StatusCode::OK, pid))
 }
 
-fn start(name: &str, version: &Version, logs: &Path) -> Result<Child, String> {
-    let log = logs.join(format!("{name}.log"));
+fn start(name: &str, version: &Version, log_dir: &Path) -> Result<Child, String> {
+    let log = log_dir.join(format!("{name}.log"));
     let file = OpenOptions::new().create(true).append(true).open(&log);
     let file = file.map_err(|e| format!("{}: {e}", log.display()))?;
     Command::new(&version.program)
-        // All but these it reads from its file, whatever this process was told.
+        // Everything except the variables set below comes from the new process's file, not from this environment.
         .env_remove("LB_LISTEN")
         .env_remove("LB_DISCOVERY")
         .env_remove("LB_STATE_DIR")
@@ -59,27 +61,28 @@
         .stdin(Stdio::null())
         .stdout(Stdio::null())
         .stderr(file)
-        // Not ended by what ends the controller.
+        // In its own process group, so that a signal to the controller's group does not end it.
         .process_group(0)
         .spawn()
         .map_err(|e| format!("{}: {e}", version.program.display()))
 }
 
-/// Puts `to` in the place of `from`. May be done again after it was broken off anywhere.
+/// Replaces the process `from` by `to`. Safe to repeat after an interruption at any point.
 ///
 /// # Errors
-/// Why `to` did not get ready; then it has been stopped, and `from` serves as before.
+/// The reason why `to` did not start or become ready, in which case it has ended and `from` keeps serving; or why
+/// `from` could not be stopped.
 pub async fn replace(
     name: &str,
     from: &Version,
     to: &Version,
-    logs: &Path,
+    log_dir: &Path,
     children: &mut Children,
 ) -> Result<(), String> {
     children.reap();
     if health(to.management).await.is_none() {
-        let mut child = start(name, to, logs)?;
-        let until = Instant::now() + READY_WITHIN;
+        let mut child = start(name, to, log_dir)?;
+        let deadline = Instant::now() + READY_TIMEOUT;
         loop {
             if matches!(health(to.management).await, Some((true, _))) {
                 break;
@@ -87,29 +90,29 @@
             if let Ok(Some(status)) = child.try_wait() {
                 return Err(format!("{name}: the new process ended before it was ready: {status}"));
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 let _ = child.kill();
                 let _ = child.wait();
-                return Err(format!("{name}: the new process was not ready in {READY_WITHIN:?}"));
+                return Err(format!("{name}: the new process was not ready in {READY_TIMEOUT:?}"));
             }
-            sleep(EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
         tracing::info!(name, pid = child.id(), "the new process is ready");
         children.0.push(child);
     }
-    // Nobody there: it has gone before.
+    // No answer: the old process has already exited.
     let Some((_, pid)) = health(from.management).await else { return Ok(()) };
     let Some(pid) = pid else { return Err(format!("{name}: the old process tells no id")) };
     kill_process(pid, Signal::TERM).map_err(|e| format!("{name}: SIGTERM: {e}"))?;
-    let until = Instant::now() + GONE_WITHIN;
-    while Instant::now() < until {
+    let deadline = Instant::now() + EXIT_TIMEOUT;
+    while Instant::now() < deadline {
         children.reap();
         if health(from.management).await.is_none() {
-            tracing::info!(name, "the old process has gone");
+            tracing::info!(name, "the old process has exited");
             return Ok(());
         }
-        sleep(EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
-    tracing::warn!(name, "the old process still finishes what it has taken");
+    tracing::warn!(name, "the old process is still finishing its requests");
     Ok(())
 }
--- a/src/release/control.rs
+++ b/src/release/control.rs
@@ -1,7 +1,8 @@
-//! How operators talk to a release: calls at the controller's management address, and the commands that make them.
+//! Operator interface of a release: the calls at the controller's management address, and the client side of the
+//! commands that make them.
 //!
-//! `GET /admin/release` tells its status; `POST /admin/release/halt`, `/resume` and `/rollback` are answered 200 once
-//! the word is on disk, 409 where it can't be carried out any more.
+//! `GET /admin/release` returns the status. `POST /admin/release/halt`, `/resume` and `/rollback` are answered 200 once
+//! the command is stored on disk, and 409 if the release has already ended or the command can't be stored.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,16 +11,16 @@
 use serde_json::{Value, json};
 use tokio::net::TcpListener;
 
-use super::controller::Word;
+use super::controller::OperatorCommand;
 use super::driver::{Release, status};
 use super::plan::Plan;
 use super::state;
 use crate::calls::{self, Call, LIMIT, Reply, ask, error, say};
 
-/// How long a call to the controller may take.
-const WITHIN: Duration = Duration::from_secs(2);
+/// Time limit of a call to the controller.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Answers calls until the task is dropped.
+/// Answers operators' calls until the task is dropped.
 pub async fn serve(listener: TcpListener, release: Rc<Release>) {
     calls::serve(
         listener,
@@ -33,30 +34,30 @@
 }
 
 fn answer(release: &Release, call: &Call) -> Reply {
-    let word = match call.path.as_str() {
+    let command = match call.path.as_str() {
         "/admin/release" => None,
-        "/admin/release/halt" => Some(Word::Halt),
-        "/admin/release/resume" => Some(Word::Resume),
-        "/admin/release/rollback" => Some(Word::Rollback),
+        "/admin/release/halt" => Some(OperatorCommand::Halt),
+        "/admin/release/resume" => Some(OperatorCommand::Resume),
+        "/admin/release/rollback" => Some(OperatorCommand::Rollback),
         _ => return error(StatusCode::NOT_FOUND, "no such call"),
     };
-    let method = if word.is_some() { Method::POST } else { Method::GET };
+    let method = if command.is_some() { Method::POST } else { Method::GET };
     if call.method != method {
         return error(StatusCode::METHOD_NOT_ALLOWED, "the method");
     }
-    match word.map_or(Ok(()), |word| release.told(word)) {
+    match command.map_or(Ok(()), |command| release.apply_command(command)) {
         Ok(()) => say(StatusCode::OK, &release.status()),
         Err(cause) => error(StatusCode::CONFLICT, cause),
     }
 }
 
-/// A status as lines for people: one for the release, one for each stage.
-pub fn lines(status: &Value) -> String {
+/// Formats a status as text: one line for the release and one for each stage.
+pub fn format_status(status: &Value) -> String {
     let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
     let mut lines = format!("{}: {}", text(&status["name"]), text(&status["step"]));
-    for (key, word) in [("why", "because"), ("held", "held")] {
+    for (key, label) in [("why", "because"), ("held", "held")] {
         if let Some(cause) = status[key].as_str() {
-            lines += &format!(" ({word}: {cause})");
+            lines += &format!(" ({label}: {cause})");
         }
     }
     lines.push('\n');
@@ -74,29 +75,29 @@
     lines
 }
 
-/// The status from the controller, or from what it kept where none runs.
+/// The status from the controller or, if none answers, from the stored state.
 ///
 /// # Errors
-/// What stands in the way of both.
-pub async fn look(plan: &Plan) -> Result<Value, String> {
+/// The reason why the answer or the stored state can't be read.
+pub async fn fetch_status(plan: &Plan) -> Result<Value, String> {
     if let Ok((StatusCode::OK, body)) =
-        ask(plan.management, Method::GET, "/admin/release", "", WITHIN).await
+        ask(plan.management, Method::GET, "/admin/release", "", CALL_TIMEOUT).await
     {
         return serde_json::from_slice(&body).map_err(|e| e.to_string());
     }
-    let kept = state::read(&plan.state_dir, &plan.name).map_err(|e| e.to_string())?;
-    let mut status = status(plan, kept.as_ref());
+    let stored = state::read(&plan.state_dir, &plan.name).map_err(|e| e.to_string())?;
+    let mut status = status(plan, stored.as_ref());
     status["held"] = json!("no controller runs; this is what it kept");
     Ok(status)
 }
 
-/// Gives the controller a word, and tells the status after it.
+/// Sends the controller a command (`halt`, `resume` or `rollback`) and returns the status after it.
 ///
 /// # Errors
-/// Why it was not taken.
-pub async fn tell(plan: &Plan, word: &str) -> Result<Value, String> {
-    let path = format!("/admin/release/{word}");
-    let answer = ask(plan.management, Method::POST, &path, "", WITHIN).await;
+/// The reason why the controller could not be reached or refused the command.
+pub async fn send_command(plan: &Plan, command: &str) -> Result<Value, String> {
+    let path = format!("/admin/release/{command}");
+    let answer = ask(plan.management, Method::POST, &path, "", CALL_TIMEOUT).await;
     let (status, body) = answer.map_err(|e| format!("no controller runs: {e}"))?;
     let value: Value = serde_json::from_slice(&body).map_err(|e| e.to_string())?;
     match status {
--- a/src/release/figures.rs
+++ b/src/release/figures.rs
@@ -1,4 +1,4 @@
-//! What the proxies' figures show, added up over all of them since some moment.
+//! Reads the proxies' metrics and sums their increase since the start of a window.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -7,25 +7,26 @@
 use hyper::{Method, StatusCode};
 use prometheus_parse::{Scrape, Value};
 
-use super::gates::{Observation, Seen};
+use super::gates::{Observation, TrafficStats};
 use crate::calls::ask;
 
-/// How long one proxy may take to answer.
-const WITHIN: Duration = Duration::from_secs(1);
+/// Time limit for one proxy to answer.
+const SCRAPE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One proxy's counts as scraped: by name and labels, and by bucket of a histogram.
+/// One proxy's counts from a scrape, by name, by `end` label (`latency` for a histogram), and by the bucket's upper
+/// bound in microseconds (0 for a counter).
 pub type Counts = BTreeMap<(String, String, u64), u64>;
 
-/// A label's value, or nothing.
+/// A label's value, or an empty string if there is none.
 fn label<'a>(sample: &'a prometheus_parse::Sample, name: &str) -> &'a str {
     sample.labels.get(name).unwrap_or("")
 }
 
-/// Reads a scrape. Metrics that are not ours are left aside.
+/// Parses a scrape in the Prometheus text format. Metrics that a release does not use are ignored.
 ///
 /// # Errors
-/// What is no Prometheus text.
-pub fn read(text: &str) -> std::io::Result<Counts> {
+/// An error of the parser.
+pub fn parse_metrics(text: &str) -> std::io::Result<Counts> {
     let scrape = Scrape::parse(text.lines().map(|l| Ok(l.to_owned())))?;
     let mut counts = Counts::new();
     for sample in scrape.samples {
@@ -51,7 +52,7 @@
     Ok(counts)
 }
 
-/// Counts added up since it was made.
+/// Increase of each proxy's counts since the window was created or restarted.
 #[derive(Debug, Default)]
 pub struct Window {
     last: BTreeMap<SocketAddr, Counts>,
@@ -59,108 +60,120 @@
 }
 
 impl Window {
-    /// Takes a proxy's counts in. What it counted before its first word here does not count; after a restart it
-    /// counts from nothing.
-    pub fn take(&mut self, proxy: SocketAddr, counts: Counts) {
+    /// Adds the increase of a proxy's counts since its previous scrape. The first scrape of a proxy only sets the
+    /// baseline; after a restart of the proxy, its counts start from zero.
+    pub fn record(&mut self, proxy: SocketAddr, counts: Counts) {
         let sums = self.sums.entry(proxy).or_default();
         if let Some(last) = self.last.get(&proxy) {
             for (key, &now) in &counts {
-                let before = last.get(key).copied().unwrap_or(0);
-                // Lower than before: the process is another one.
-                let more = now.checked_sub(before).unwrap_or(now);
-                *sums.entry(key.clone()).or_default() += more;
+                let previous = last.get(key).copied().unwrap_or(0);
+                // Lower than before: the proxy was restarted.
+                let increase = now.checked_sub(previous).unwrap_or(now);
+                *sums.entry(key.clone()).or_default() += increase;
             }
         }
         self.last.insert(proxy, counts);
     }
 
-    /// Counts from now on, from what the proxies said last.
+    /// Starts a new window at each proxy's last scrape.
     pub fn restart(&mut self) {
         self.sums.clear();
     }
 
-    /// Asks each proxy and takes in what it says; the number that said nothing.
-    pub async fn look(&mut self, proxies: &[SocketAddr]) -> usize {
-        let mut silent = 0;
+    /// Scrapes each proxy and records its counts. Returns the number of proxies without a usable answer.
+    pub async fn scrape(&mut self, proxies: &[SocketAddr]) -> usize {
+        let mut unavailable = 0;
         for &proxy in proxies {
-            match ask(proxy, Method::GET, "/metrics", "", WITHIN).await {
-                Ok((StatusCode::OK, body)) => match read(&String::from_utf8_lossy(&body)) {
-                    Ok(counts) => self.take(proxy, counts),
-                    Err(cause) => {
-                        silent += 1;
-                        tracing::warn!(%proxy, %cause, "figures that can't be read");
+            match ask(proxy, Method::GET, "/metrics", "", SCRAPE_TIMEOUT).await {
+                Ok((StatusCode::OK, body)) => {
+                    match parse_metrics(&String::from_utf8_lossy(&body)) {
+                        Ok(counts) => self.record(proxy, counts),
+                        Err(cause) => {
+                            unavailable += 1;
+                            tracing::warn!(%proxy, %cause, "metrics could not be parsed");
+                        }
                     }
-                },
+                }
                 Ok((status, _)) => {
-                    silent += 1;
-                    tracing::warn!(%proxy, %status, "no figures");
+                    unavailable += 1;
+                    tracing::warn!(%proxy, %status, "metrics request was not answered with 200");
                 }
                 Err(cause) => {
-                    silent += 1;
-                    tracing::debug!(%cause, "no figures");
+                    unavailable += 1;
+                    tracing::debug!(%cause, "metrics request failed");
                 }
             }
         }
-        silent
+        unavailable
     }
 
-    fn upstreams(&self, ids: &HashSet<&str>) -> Seen {
-        let mut seen = Seen::default();
+    fn upstream_stats(&self, ids: &HashSet<&str>) -> TrafficStats {
+        let mut stats = TrafficStats::default();
         for ((name, end, bound), &n) in self.sums.values().flatten() {
             if !name.strip_prefix("upstream:").is_some_and(|id| ids.contains(id)) {
                 continue;
             }
             match end.as_str() {
-                "latency" => *seen.latencies.0.entry(*bound).or_default() += n,
-                // Turned away unseen: the proxy tries elsewhere, and it tells of load, not of the version.
+                "latency" => *stats.latencies.0.entry(*bound).or_default() += n,
+                // Refused before processing: the proxy tries another upstream, and a refusal says something about
+                // load, not about the version.
                 "refused" => {}
                 _ => {
-                    seen.attempts += n;
-                    seen.errors += if end == "served" { 0 } else { n };
+                    stats.attempts += n;
+                    stats.errors += if end == "served" { 0 } else { n };
                 }
             }
         }
-        seen
+        stats
     }
 
-    fn requests(&self, proxies: &[SocketAddr]) -> (u64, u64, u64) {
-        let mut of = [0; 3];
+    /// Requests that ended `ok`, `shed` and in `errors`, summed over `proxies`.
+    fn request_counts(&self, proxies: &[SocketAddr]) -> (u64, u64, u64) {
+        let mut totals = [0; 3];
         for counts in proxies.iter().filter_map(|p| self.sums.get(p)) {
-            for (at, end) in ["ok", "shed", "errors"].iter().enumerate() {
+            for (index, end) in ["ok", "shed", "errors"].iter().enumerate() {
                 let key = ("requests".to_owned(), (*end).to_owned(), 0);
-                of[at] += counts.get(&key).copied().unwrap_or(0);
+                totals[index] += counts.get(&key).copied().unwrap_or(0);
             }
         }
-        (of[0], of[1], of[2])
+        (totals[0], totals[1], totals[2])
     }
 
-    /// What was seen of upstreams: the new ones, and those they take the place of.
-    pub fn of_upstreams(&self, new: &HashSet<&str>, old: &HashSet<&str>) -> Observation {
+    /// Observation of a release of upstreams, from the ids of the new members and of the old ones still to be
+    /// replaced.
+    pub fn upstream_observation(&self, new: &HashSet<&str>, old: &HashSet<&str>) -> Observation {
         let proxies: Vec<SocketAddr> = self.sums.keys().copied().collect();
-        let (ok, refused, errors) = self.requests(&proxies);
+        let (ok, refused, errors) = self.request_counts(&proxies);
         Observation {
-            new: self.upstreams(new),
-            old: self.upstreams(old),
+            new: self.upstream_stats(new),
+            old: self.upstream_stats(old),
             requests: ok + refused + errors,
             refused,
         }
     }
 
-    /// What was seen of balancers: their requests count, refusals apart; the time is that of their attempts.
-    pub fn of_balancers(&self, new: &[SocketAddr], old: &[SocketAddr]) -> Observation {
-        let seen = |proxies: &[SocketAddr]| {
-            let (ok, _, errors) = self.requests(proxies);
-            let mut seen = Seen { attempts: ok + errors, errors, ..Seen::default() };
+    /// Observation of a release of balancers, from their management addresses. Counts their requests, without
+    /// refusals; the latencies are those of their attempts at upstreams.
+    pub fn balancer_observation(&self, new: &[SocketAddr], old: &[SocketAddr]) -> Observation {
+        let stats_of = |proxies: &[SocketAddr]| {
+            let (ok, _, errors) = self.request_counts(proxies);
+            let mut stats =
+                TrafficStats { attempts: ok + errors, errors, ..TrafficStats::default() };
             for counts in proxies.iter().filter_map(|p| self.sums.get(p)) {
                 for ((_, _, bound), n) in counts.iter().filter(|((_, end, _), _)| end == "latency")
                 {
-                    *seen.latencies.0.entry(*bound).or_default() += n;
+                    *stats.latencies.0.entry(*bound).or_default() += n;
                 }
             }
-            seen
+            stats
         };
-        let (ok, refused, errors) = self.requests(new);
-        Observation { new: seen(new), old: seen(old), requests: ok + refused + errors, refused }
+        let (ok, refused, errors) = self.request_counts(new);
+        Observation {
+            new: stats_of(new),
+            old: stats_of(old),
+            requests: ok + refused + errors,
+            refused,
+        }
     }
 }
 
