--- a/src/bin/hollowpaddle/bodies.rs
+++ b/src/bin/hollowpaddle/bodies.rs
@@ -13,7 +13,7 @@
 use tokio::time::{Instant, Sleep, sleep, timeout};
 
 use crate::upstreams::StreamedResponse;
-use hollowpaddle::figures::{End, Taken};
+use hollowpaddle::figures::{ActiveRequest, End};
 
 /// A request or response body up to this size is buffered completely; of a larger one, only its first part.
 pub const MAX_BUFFERED_BYTES: usize = 64 << 10;
@@ -333,7 +333,7 @@
 pub struct ResponseBody {
     kept: Bytes,
     rest: Option<StreamedResponse>,
-    taken: Option<Taken>,
+    taken: Option<ActiveRequest>,
     _hold: Option<MemoryReservation>,
     _guard: Option<CompletionGuard>,
 }
@@ -351,9 +351,9 @@
     }
 
     /// Counts the request in the metrics: as `end`, or, if the body is streamed, by whether the stream completes.
-    pub fn counted_as(mut self, taken: Taken, end: End) -> Self {
+    pub fn counted_as(mut self, taken: ActiveRequest, end: End) -> Self {
         if self.rest.is_none() {
-            taken.ends(end);
+            taken.set_end(end);
         }
         self.taken = Some(taken);
         self
@@ -367,7 +367,7 @@
 
     fn ends(&self, end: End) {
         if let Some(taken) = &self.taken {
-            taken.ends(end);
+            taken.set_end(end);
         }
     }
 }
--- a/src/bin/hollowpaddle/clients.rs
+++ b/src/bin/hollowpaddle/clients.rs
@@ -379,7 +379,7 @@
         let class = arrival.class;
         let taken = OnceCell::new();
         let take = || {
-            taken.get_or_init(|| self.figures.take(&service.name, class));
+            taken.get_or_init(|| self.figures.start_request(&service.name, class));
         };
         if rest.is_none() {
             take();
--- a/src/bin/hollowpaddle/engine.rs
+++ b/src/bin/hollowpaddle/engine.rs
@@ -22,7 +22,7 @@
 use hollowpaddle::services::{
     Catalog, Change, Notified, ReloadError, Routing, Service, ServiceId, Services,
 };
-use hollowpaddle::tasks::{AbortOnDrop, settle};
+use hollowpaddle::tasks::{AbortOnDrop, yield_until};
 use rustc_hash::FxHashMap;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
@@ -278,7 +278,7 @@
             if let Some(late) = due.map(|due| due.elapsed()).filter(|late| *late > self.stall) {
                 tracing::warn!(?late, "process stalled; processing list updates before requests");
                 // Updates sent during the stall are in force, but may be read after requests that came with them.
-                settle(|| false).await;
+                yield_until(|| false).await;
                 while let Ok(update) = self.list_updates.try_recv() {
                     self.on_list_update(update);
                 }
@@ -383,7 +383,7 @@
         let (added, removed) = (reloaded.added, reloaded.removed.len());
         tracing::info!(added, removed, "services and routes reloaded");
         for (name, classes) in service_classes(&reloaded.routing.catalog) {
-            self.figures.serve(name, classes);
+            self.figures.register_service(name, classes);
         }
         if added + removed > 0 {
             self.send_order(ClientCommand::SetFilter(filter(&reloaded.routing.catalog)));
@@ -547,7 +547,7 @@
         tracing::debug!(request, attempt, ?server, ?outcome, ?denial, ?latency, "attempt ended");
         pending.last_outcome = Some(result.outcome);
         if let Some(figures) = self.upstreams.figures(server) {
-            figures.ended(result.outcome, latency);
+            figures.record_attempt(result.outcome, latency);
         }
         // The first complete response goes to the client; later ones are dropped.
         if let Some(response) = result.response {
--- a/src/bin/hollowpaddle/engine/upstream_table.rs
+++ b/src/bin/hollowpaddle/engine/upstream_table.rs
@@ -47,7 +47,7 @@
                 *metrics = figures.upstream(&change.id);
             }
         } else if metrics.take().is_some() {
-            figures.forget(&change.id);
+            figures.remove_upstream(&change.id);
         }
     }
 }
--- a/src/bin/hollowpaddle/main.rs
+++ b/src/bin/hollowpaddle/main.rs
@@ -127,7 +127,7 @@
     let budget = config.budget();
     let figures = Figures::new(config.management.is_some());
     for (service, classes) in engine::service_classes(&config.catalog) {
-        figures.serve(service, classes);
+        figures.register_service(service, classes);
     }
     let keeper = config.state_dir.as_deref().map(ListCache::open).transpose();
     let keeper = keeper.map_err(|e| format!("state_dir: {e}"))?;
--- a/src/bin/hollowpaddle/management.rs
+++ b/src/bin/hollowpaddle/management.rs
@@ -124,9 +124,9 @@
         Ok(match call {
             Call::Health => self.health(),
             Call::Stats => {
-                say(StatusCode::OK, &self.figures.told(self.engine.upstream_counts().await))
+                say(StatusCode::OK, &self.figures.to_json(self.engine.upstream_counts().await))
             }
-            Call::Metrics => self.figures.scraped(self.engine.upstream_counts().await),
+            Call::Metrics => self.figures.prometheus_response(self.engine.upstream_counts().await),
             Call::Quiesce => self.phase_reply(self.lifecycle.quiesce()),
             Call::Resume => self.phase_reply(self.lifecycle.resume()),
         })
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -22,7 +22,7 @@
 use super::objects::{ObjectError, Objects};
 use super::watch_planner::{Step, Verdict, WatchPlanner};
 use crate::socket::Socket;
-use crate::tasks::{AbortOnDrop, settle};
+use crate::tasks::{AbortOnDrop, yield_until};
 
 /// Maximum size of one object of a list, in bytes: about ten thousand members. Anything longer is not from discovery.
 const MAX_OBJECT_BYTES: usize = 4 << 20;
@@ -194,7 +194,7 @@
             }
             () = due => {
                 if planner.due().is_some_and(|due| due.elapsed() > STALL_THRESHOLD) {
-                    settle(|| !received.is_empty()).await;
+                    yield_until(|| !received.is_empty()).await;
                     if !received.is_empty() {
                         continue;
                     }
--- a/src/discovery/management.rs
+++ b/src/discovery/management.rs
@@ -33,7 +33,7 @@
 use super::member::{Member, Phase};
 use super::server::ListService;
 use crate::calls::{self, Call, LIMIT, Reply, error, say};
-use crate::figures::Text;
+use crate::figures::MetricsText;
 use crate::lease::table::{LeaseCommand, TTL_MS, Token};
 use crate::replica::command::{Command, Fence, Outcome};
 use crate::replica::host::{FORMS, Host, PEER_CALL_MAX_BYTES, WriteError};
@@ -160,7 +160,7 @@
 
     fn metrics(&self, id: u64, leader: Option<u64>, term: u64) -> Reply {
         let counts = &self.host.counts;
-        let mut text = Text::new();
+        let mut text = MetricsText::new();
         let (revision, members) = self.host.read(|m| (m.list().revision(), m.list().len()));
         text.gauge("list_revision", "Revision of the list here", &[], revision);
         text.gauge("list_members", "Members in the list", &[], members as u64);
--- a/src/discovery/sweep.rs
+++ b/src/discovery/sweep.rs
@@ -13,7 +13,7 @@
 use super::member::{Message, Phase};
 use crate::calls::instances::Instances;
 use crate::calls::{self, Call, LIMIT, error, say};
-use crate::figures::Text;
+use crate::figures::MetricsText;
 use crate::lease::client::Duty;
 use crate::tasks::AbortOnDrop;
 
@@ -102,7 +102,7 @@
     match call.path.as_str() {
         "/-/ready" | "/admin/health" => say(StatusCode::OK, &json!({"token": duty.token()})),
         "/metrics" => {
-            let (mut text, of) = (Text::new(), [("duty", DUTY)]);
+            let (mut text, of) = (MetricsText::new(), [("duty", DUTY)]);
             text.gauge(
                 "duty_token",
                 "Token of the grant held, 0 without",
--- a/src/figures/mod.rs
+++ b/src/figures/mod.rs
@@ -23,59 +23,59 @@
 use crate::invariants::violations::Violations;
 
 /// The content type of Prometheus's text format.
-const TEXT: &str = "text/plain; version=0.0.4; charset=utf-8";
+const PROMETHEUS_CONTENT_TYPE: &str = "text/plain; version=0.0.4; charset=utf-8";
 
 type Labels = Vec<(String, String)>;
-type Whole = Gauge<u64, AtomicU64>;
+type UnsignedGauge = Gauge<u64, AtomicU64>;
 
-fn labels(from: &[(&str, &str)]) -> Labels {
-    from.iter().map(|(name, value)| ((*name).to_owned(), (*value).to_owned())).collect()
+fn labels(pairs: &[(&str, &str)]) -> Labels {
+    pairs.iter().map(|(name, value)| ((*name).to_owned(), (*value).to_owned())).collect()
 }
 
 /// Figures read off for one scrape, for what is counted elsewhere.
 #[derive(Default)]
-pub struct Text {
+pub struct MetricsText {
     registry: Registry,
-    gauges: HashMap<&'static str, Family<Labels, Whole>>,
+    gauges: HashMap<&'static str, Family<Labels, UnsignedGauge>>,
     counters: HashMap<&'static str, Family<Labels, Counter>>,
 }
 
-impl Text {
+impl MetricsText {
     /// Nothing yet.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// A figure that may fall.
-    pub fn gauge(&mut self, name: &'static str, help: &str, of: &[(&str, &str)], value: u64) {
+    pub fn gauge(&mut self, name: &'static str, help: &str, pairs: &[(&str, &str)], value: u64) {
         let family = self.gauges.entry(name).or_insert_with(|| {
             let family = Family::default();
             self.registry.register(name, help, family.clone());
             family
         });
-        family.get_or_create(&labels(of)).set(value);
+        family.get_or_create(&labels(pairs)).set(value);
     }
 
     /// A figure that only rises; `_total` is added to its name.
-    pub fn counter(&mut self, name: &'static str, help: &str, of: &[(&str, &str)], value: u64) {
+    pub fn counter(&mut self, name: &'static str, help: &str, pairs: &[(&str, &str)], value: u64) {
         let family = self.counters.entry(name).or_insert_with(|| {
             let family = Family::default();
             self.registry.register(name, help, family.clone());
             family
         });
-        family.get_or_create(&labels(of)).inc_by(value);
+        family.get_or_create(&labels(pairs)).inc_by(value);
     }
 
     /// The answer to a scrape.
     pub fn reply(&self) -> Response<Full<Bytes>> {
-        scraped(&self.registry)
+        encode_response(&self.registry)
     }
 }
 
-fn scraped(registry: &Registry) -> Response<Full<Bytes>> {
+fn encode_response(registry: &Registry) -> Response<Full<Bytes>> {
     let mut text = String::new();
     match encode(&mut text, registry) {
-        Ok(()) => crate::calls::text(StatusCode::OK, TEXT, text.into_bytes()),
+        Ok(()) => crate::calls::text(StatusCode::OK, PROMETHEUS_CONTENT_TYPE, text.into_bytes()),
         Err(cause) => crate::calls::error(StatusCode::INTERNAL_SERVER_ERROR, cause),
     }
 }
@@ -110,16 +110,16 @@
 
 impl Upstream {
     /// An attempt there ended so after this time. One that was withdrawn or never issued tells nothing of it.
-    pub fn ended(&self, outcome: Outcome, after: Duration) {
+    pub fn record_attempt(&self, outcome: Outcome, latency: Duration) {
         match outcome {
             Outcome::Ok => {
                 self.served.inc();
-                self.latency.observe(after.as_secs_f64());
+                self.latency.observe(latency.as_secs_f64());
             }
             // The time waited is the least that it would have taken.
             Outcome::Timeout => {
                 self.errors.inc();
-                self.latency.observe(after.as_secs_f64());
+                self.latency.observe(latency.as_secs_f64());
             }
             Outcome::Error | Outcome::Reset => drop(self.errors.inc()),
             Outcome::Full => drop(self.refused.inc()),
@@ -130,7 +130,7 @@
 }
 
 /// Upper bounds of the latency buckets, in seconds: 1 ms to some 20 s, each a third above the one before.
-fn latency() -> Histogram {
+fn latency_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.001, 4.0 / 3.0, 36))
 }
 
@@ -150,19 +150,19 @@
     attempts: Family<Labels, Counter>,
     latencies: Family<Labels, Histogram, fn() -> Histogram>,
     /// Upstreams are told apart only where operators can ask.
-    asked: bool,
+    per_upstream: bool,
 }
 
 impl Figures {
-    /// Of a proxy whose services are told of by [`Figures::serve`]; `asked` is whether operators have an address to
+    /// Of a proxy whose services are told of by [`Figures::register_service`]; `per_upstream` is whether operators have an address to
     /// ask at.
-    pub fn new(asked: bool) -> Rc<Self> {
+    pub fn new(per_upstream: bool) -> Rc<Self> {
         let mut registry = Registry::default();
         let requests = Family::<Labels, Counter>::default();
         let (tries, active) = (Counter::default(), Gauge::default());
         let pool: [Gauge; 2] = Default::default();
         let attempts = Family::<Labels, Counter>::default();
-        let latencies = Family::new_with_constructor(latency as fn() -> Histogram);
+        let latencies = Family::new_with_constructor(latency_histogram as fn() -> Histogram);
         registry.register("requests", "Requests ended, by class and how", requests.clone());
         registry.register("tries", "Attempts written whole to upstreams", tries.clone());
         registry.register("active", "Requests taken and not ended", active.clone());
@@ -191,13 +191,13 @@
             pool,
             attempts,
             latencies,
-            asked,
+            per_upstream,
         })
     }
 
     /// A service is served from now on; the name of a proxy's only one is empty. Every class is there from the start:
     /// an absent one could not be told from one that is never counted.
-    pub fn serve<'a>(&self, service: &str, classes: impl Iterator<Item = &'a str>) {
+    pub fn register_service<'a>(&self, service: &str, classes: impl Iterator<Item = &'a str>) {
         let mut services = self.services.borrow_mut();
         if services.contains_key(service) {
             return;
@@ -205,45 +205,45 @@
         let mut responses = self.responses.borrow_mut();
         services.insert(service.to_owned(), responses.len());
         for class in classes {
-            let of = |end: &str| {
-                let mut of = vec![("class", class), ("end", end)];
+            let counter = |end: &str| {
+                let mut pairs = vec![("class", class), ("end", end)];
                 if !service.is_empty() {
-                    of.push(("service", service));
+                    pairs.push(("service", service));
                 }
-                self.requests.get_or_create(&labels(&of)).clone()
+                self.requests.get_or_create(&labels(&pairs)).clone()
             };
             responses.push(Responses {
                 service: service.to_owned(),
                 class: class.to_owned(),
-                ok: of("ok"),
-                shed: of("shed"),
-                errors: of("errors"),
+                ok: counter("ok"),
+                shed: counter("shed"),
+                errors: counter("errors"),
             });
         }
     }
 
     /// A request of this service has been taken.
-    pub fn take(self: &Rc<Self>, service: &str, class: usize) -> Taken {
+    pub fn start_request(self: &Rc<Self>, service: &str, class: usize) -> ActiveRequest {
         self.active.inc();
         let class = self.services.borrow().get(service).map(|first| first + class);
-        Taken { figures: self.clone(), class, end: Cell::new(None) }
+        ActiveRequest { figures: self.clone(), class, end: Cell::new(None) }
     }
 
     /// The figures of this upstream; `None` where nobody can ask for them.
     pub fn upstream(&self, id: &str) -> Option<Upstream> {
-        let of =
+        let counter =
             |end| self.attempts.get_or_create(&labels(&[("upstream", id), ("end", end)])).clone();
-        self.asked.then(|| Upstream {
-            served: of("served"),
-            errors: of("errors"),
-            refused: of("refused"),
-            unreachable: of("unreachable"),
+        self.per_upstream.then(|| Upstream {
+            served: counter("served"),
+            errors: counter("errors"),
+            refused: counter("refused"),
+            unreachable: counter("unreachable"),
             latency: self.latencies.get_or_create(&labels(&[("upstream", id)])).clone(),
         })
     }
 
     /// This upstream is gone for good.
-    pub fn forget(&self, id: &str) {
+    pub fn remove_upstream(&self, id: &str) {
         for end in ["served", "errors", "refused", "unreachable"] {
             self.attempts.remove(&labels(&[("upstream", id), ("end", end)]));
         }
@@ -251,7 +251,7 @@
     }
 
     /// The figures as operators read them, with what the module tells of its upstreams.
-    pub fn told(&self, (pool_size, pool_ejected): (usize, usize)) -> Value {
+    pub fn to_json(&self, (pool_size, pool_ejected): (usize, usize)) -> Value {
         let mut responses = Map::new();
         for r in self.responses.borrow().iter() {
             let (ok, shed, errors) = (r.ok.get(), r.shed.get(), r.errors.get());
@@ -271,29 +271,29 @@
     }
 
     /// The same and the upstreams', as Prometheus reads them.
-    pub fn scraped(&self, (size, ejected): (usize, usize)) -> Response<Full<Bytes>> {
+    pub fn prometheus_response(&self, (size, ejected): (usize, usize)) -> Response<Full<Bytes>> {
         self.pool[0].set(size as i64);
         self.pool[1].set(ejected as i64);
-        scraped(&self.registry)
+        encode_response(&self.registry)
     }
 }
 
 /// A request from its last byte to the last byte of its answer. It goes with the answer, and counts when that
 /// is done with; a client that left before there was one counts under nothing.
-pub struct Taken {
+pub struct ActiveRequest {
     figures: Rc<Figures>,
     class: Option<usize>,
     end: Cell<Option<End>>,
 }
 
-impl Taken {
+impl ActiveRequest {
     /// What it will count as; the last word holds.
-    pub fn ends(&self, end: End) {
+    pub fn set_end(&self, end: End) {
         self.end.set(Some(end));
     }
 }
 
-impl Drop for Taken {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         let figures = &self.figures;
         figures.active.dec();
--- a/src/hollow/balancer.rs
+++ b/src/hollow/balancer.rs
@@ -13,7 +13,7 @@
 use crate::services::{Catalog, Notified, ServiceId, Services};
 
 /// One entry's part of a [`digest`].
-fn part(entry: &Entry) -> u64 {
+fn entry_hash(entry: &Entry) -> u64 {
     let mut hasher = FxHasher::default();
     (&entry.id, &entry.host_port, &entry.locality, entry.phase as u8).hash(&mut hasher);
     (entry.up_since_ms as u64, &entry.service).hash(&mut hasher);
@@ -22,37 +22,37 @@
 
 /// What two holders of the same list have in common, in whatever order they hold it. Of one build only.
 pub fn digest(list: &[Entry]) -> u64 {
-    list.iter().map(part).fold(0, u64::wrapping_add)
+    list.iter().map(entry_hash).fold(0, u64::wrapping_add)
 }
 
 /// The list as one balancer holds it.
 #[derive(Debug, Default)]
-struct Held {
+struct HeldList {
     ids: FxHashMap<String, usize>,
     /// The part of the digest, of those that are in the list.
-    parts: Vec<Option<u64>>,
+    hashes: Vec<Option<u64>>,
     members: usize,
     digest: u64,
 }
 
-impl Held {
-    fn id(&mut self, name: &str) -> usize {
+impl HeldList {
+    fn index_of(&mut self, name: &str) -> usize {
         if let Some(id) = self.ids.get(name) {
             return *id;
         }
-        let id = self.parts.len();
+        let id = self.hashes.len();
         self.ids.insert(name.to_owned(), id);
-        self.parts.push(None);
+        self.hashes.push(None);
         id
     }
 
-    fn set(&mut self, id: usize, part: Option<u64>) {
-        let old = std::mem::replace(&mut self.parts[id], part);
-        self.members = self.members + usize::from(part.is_some()) - usize::from(old.is_some());
-        self.digest = self.digest.wrapping_add(part.unwrap_or(0)).wrapping_sub(old.unwrap_or(0));
+    fn set(&mut self, id: usize, hash: Option<u64>) {
+        let old = std::mem::replace(&mut self.hashes[id], hash);
+        self.members = self.members + usize::from(hash.is_some()) - usize::from(old.is_some());
+        self.digest = self.digest.wrapping_add(hash.unwrap_or(0)).wrapping_sub(old.unwrap_or(0));
     }
 
-    fn take(&mut self, list: &Message) {
+    fn apply_message(&mut self, list: &Message) {
         if list.complete {
             let named: FxHashSet<&str> = list.members.iter().map(|m| m.id.as_str()).collect();
             let left_out = self.ids.iter().filter(|(name, _)| !named.contains(name.as_str()));
@@ -61,8 +61,8 @@
             }
         }
         for entry in &list.members {
-            let id = self.id(&entry.id);
-            self.set(id, (entry.phase != Phase::Deleted).then(|| part(entry)));
+            let id = self.index_of(&entry.id);
+            self.set(id, (entry.phase != Phase::Deleted).then(|| entry_hash(entry)));
         }
     }
 }
@@ -70,7 +70,7 @@
 /// One hollow balancer.
 pub struct HollowBalancer {
     services: Services,
-    held: Held,
+    held: HeldList,
     timers: BinaryHeap<Reverse<(Time, ServiceId, u64)>>,
     actions: Vec<Action>,
 }
@@ -82,7 +82,7 @@
     /// [`SettingsError`], of settings that no balancer takes.
     pub fn new(catalog: Rc<Catalog>, seed: u64, now: Time) -> Result<Self, SettingsError> {
         let services = Services::new(catalog, seed, now)?;
-        let (held, timers) = (Held::default(), BinaryHeap::new());
+        let (held, timers) = (HeldList::default(), BinaryHeap::new());
         Ok(Self { services, held, timers, actions: Vec::new() })
     }
 
@@ -96,13 +96,13 @@
         self.held.digest
     }
 
-    /// Takes a message into the list held, before the services are [told](Self::tell).
-    pub fn take(&mut self, list: &Message) {
-        self.held.take(list);
+    /// Takes a message into the list held, before the services are [told](Self::notify_services).
+    pub fn apply_message(&mut self, list: &Message) {
+        self.held.apply_message(list);
     }
 
-    /// Tells the services what was [taken](Self::take) last, each its own part of it; how many were told.
-    pub fn tell(&mut self, now: Time, list: &Message, kind: ListKind) -> usize {
+    /// Tells the services what was [taken](Self::apply_message) last, each its own part of it; how many were told.
+    pub fn notify_services(&mut self, now: Time, list: &Message, kind: ListKind) -> usize {
         // There are no connections that its changes could concern.
         let Notified { members, .. } = self.services.told(list, kind);
         for (service, members) in &members {
@@ -111,13 +111,13 @@
         members.len()
     }
 
-    /// When [`Self::pass`] has something to do.
+    /// When [`Self::fire_due_timers`] has something to do.
     pub fn due(&self) -> Option<Time> {
         self.timers.peek().map(|Reverse((at, ..))| *at)
     }
 
     /// Time has passed: timers that are due are told to their services.
-    pub fn pass(&mut self, now: Time) {
+    pub fn fire_due_timers(&mut self, now: Time) {
         while let Some(Reverse((at, service, token))) = self.timers.peek().copied() {
             if at > now {
                 return;
--- a/src/hollow/config.rs
+++ b/src/hollow/config.rs
@@ -16,7 +16,7 @@
 };
 
 /// Most balancers, and most upstreams, of one process.
-const MOST: usize = 100_000;
+const MAX_PER_PROCESS: usize = 100_000;
 
 /// `hollow --config FILE`: how many of which, and where the list is.
 #[derive(Debug, Deserialize)]
@@ -128,23 +128,23 @@
     /// by side, and a TTL out of its range.
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
         let config: Self = configuration::load(path)?;
-        if let Some((key, cause)) = config.fault() {
+        if let Some((key, cause)) = config.first_invalid() {
             return Err(ConfigError::invalid(path, key, cause));
         }
         if config.balancers > 0 {
             let refused =
                 |cause: CatalogError| ConfigError::invalid(path, "services", cause.to_string());
-            config.catalog(&basic(), 0).map_err(refused)?;
+            config.catalog(&default_facts(), 0).map_err(refused)?;
         }
         Ok(config)
     }
 
-    fn fault(&self) -> Option<(&'static str, &'static str)> {
+    fn first_invalid(&self) -> Option<(&'static str, &'static str)> {
         if self.balancers + self.upstreams == 0 {
             return Some(("balancers", "neither balancers nor upstreams"));
         }
         for (key, count) in [("balancers", self.balancers), ("upstreams", self.upstreams)] {
-            if count > MOST {
+            if count > MAX_PER_PROCESS {
                 return Some((key, "100000 at most"));
             }
         }
@@ -160,13 +160,13 @@
         if self.services.count() == 0 {
             return Some(("services", "at least one"));
         }
-        let named = |number| HollowUpstream {
+        let upstream_of = |number| HollowUpstream {
             number,
             zone: String::new(),
             service: self.services.name(number),
         };
         let names = if let Services::Names(names) = &self.services { names.len() } else { 0 };
-        if let Some((_, cause)) = (0..names).find_map(|n| named(n).member(0).fault()) {
+        if let Some((_, cause)) = (0..names).find_map(|n| upstream_of(n).member(0).fault()) {
             return Some(("services", cause));
         }
         if !TTL_MS.contains(&self.ttl_ms) {
@@ -181,7 +181,7 @@
     }
 
     /// The time that starts of upstreams are spread over.
-    pub fn spread(&self) -> Duration {
+    pub fn start_spread(&self) -> Duration {
         Duration::from_millis(self.spread_ms.unwrap_or(self.ttl_ms / 3))
     }
 
@@ -191,7 +191,7 @@
     /// [`ConfigError`] where `proxy` can't be read, or has no settings that a balancer takes.
     pub fn facts(&self) -> Result<Facts, ConfigError> {
         let mut facts = match &self.proxy {
-            None => basic(),
+            None => default_facts(),
             Some(path) => {
                 let text = std::fs::read(path)
                     .map_err(|source| ConfigError::Unreadable { path: path.clone(), source })?;
@@ -240,7 +240,7 @@
 }
 
 /// What a balancer is told where nothing is stated: one class with an aim of 2 s and a deadline of 6 s.
-fn basic() -> Facts {
+fn default_facts() -> Facts {
     let class = Class {
         name: String::new(),
         aim: 2000.0,
--- a/src/hollow/config/tests.rs
+++ b/src/hollow/config/tests.rs
@@ -20,7 +20,7 @@
 const LISTS: &str = "[lists]\nlisten = [\"127.0.0.1:1\"]\nmanagement = [\"127.0.0.1:2\"]\n";
 
 #[test]
-fn the_example_is_taken() {
+fn example_file_is_accepted() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/hollow.toml");
     let config = HollowConfig::load(Path::new(path)).expect("sound");
     assert_eq!((config.balancers, config.upstreams, config.services.count()), (20, 300, 210));
@@ -33,10 +33,10 @@
 }
 
 #[test]
-fn what_is_left_out_has_a_default() {
+fn omitted_settings_have_defaults() {
     let config = parse(&format!("{GOOD}{LISTS}")).expect("sound");
     assert_eq!((config.first, config.ttl_ms, config.zones.len()), (0, 10_000, 1));
-    assert_eq!(config.spread(), Duration::from_millis(3333));
+    assert_eq!(config.start_spread(), Duration::from_millis(3333));
     let facts = config.facts().expect("sound");
     let class = Class::safe(Span(2_000_000), Span(6_000_000));
     let basic = Settings { balancers: 2, ..Settings::basic(vec![class]) };
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_balancer_serves_the_services_that_are_named_with_the_settings_tenants_each() {
+fn each_named_service_gets_the_tenants_of_the_settings() {
     let named = |names: &str| {
         let config = parse(&format!("{GOOD}services = {names}\n{LISTS}")).expect("sound");
         let mut facts = config.facts().expect("sound");
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn each_bad_value_is_refused_by_its_key() {
+fn errors_name_the_key_of_the_invalid_value() {
     let bad = [
         (format!("{GOOD}beat = 1\n{LISTS}"), "`beat`"),
         (format!("{GOOD}{LISTS}stream = 1\n"), "`lists.stream`"),
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn the_modules_take_a_proxys_settings_by_its_file() {
+fn settings_are_read_from_a_proxy_configuration_file() {
     let proxy = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/proxy.json");
     let config = parse(&format!("{GOOD}proxy = \"{proxy}\"\n{LISTS}")).expect("sound");
     assert_eq!(config.facts().expect("sound").settings().classes.len(), 3);
--- a/src/hollow/driver.rs
+++ b/src/hollow/driver.rs
@@ -42,15 +42,15 @@
 use crate::discovery::member::Message;
 use crate::discovery::registration;
 use crate::discovery::watch_planner::{Mode, WatchPlanner};
-use crate::figures::Text;
+use crate::figures::MetricsText;
 use crate::interface::{ListKind, Time};
 use crate::settings::Facts;
-use crate::tasks::{AbortOnDrop, settle};
+use crate::tasks::{AbortOnDrop, yield_until};
 
 /// A timer that fires so late tells that the process stood still: what came meanwhile is taken first.
-const STALL: Duration = Duration::from_millis(250);
+const STALL_THRESHOLD: Duration = Duration::from_millis(250);
 /// How long one that drains or leaves tries to say so.
-const SAY_WITHIN: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why the process can't start.
 #[derive(Debug, thiserror::Error)]
@@ -100,12 +100,12 @@
 }
 
 /// A stream that counts what is read from it.
-struct Counted<S> {
+struct CountingStream<S> {
     stream: S,
     figures: Rc<BalancerFigures>,
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Counted<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for CountingStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -118,7 +118,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Counted<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for CountingStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -199,7 +199,7 @@
             self.start_balancer(i, Duration::ZERO);
         }
         for i in 0..self.upstreams.len() {
-            let after = self.draw(i, self.config.spread());
+            let after = self.random_delay(i, self.config.start_spread());
             self.start_upstream(i, after);
         }
         let this = self.clone();
@@ -207,7 +207,7 @@
     }
 
     /// A moment in `within`, of upstream or balancer `i`.
-    fn draw(&self, i: usize, within: Duration) -> Duration {
+    fn random_delay(&self, i: usize, within: Duration) -> Duration {
         let seed = self.config.seed.wrapping_add((self.config.first + i) as u64);
         within.mul_f64(oorandom::Rand64::new(u128::from(seed)).rand_float())
     }
@@ -216,27 +216,27 @@
         let this = self.clone();
         let task = tokio::task::spawn_local(async move {
             sleep(after).await;
-            this.balance(i).await;
+            this.run_balancer(i).await;
         });
         *self.balancers[i].task.borrow_mut() = Some(AbortOnDrop(task));
     }
 
     /// One hollow balancer, as long as it is polled.
-    async fn balance(&self, i: usize) {
+    async fn run_balancer(&self, i: usize) {
         let BalancerSlot { number, id, figures, .. } = &self.balancers[i];
         let dir = self.config.state_dir.as_ref().map(|dir| dir.join(id));
-        let keeper = match dir.as_deref().map(ListCache::open).transpose() {
-            Ok(keeper) => keeper,
+        let cache = match dir.as_deref().map(ListCache::open).transpose() {
+            Ok(cache) => cache,
             Err(cause) => return tracing::error!(%cause, id, "state_dir"),
         };
         let catalog = match self.config.catalog(&self.facts, *number) {
             Ok(catalog) => Rc::new(catalog),
             Err(cause) => return tracing::error!(%cause, id, "services"),
         };
-        let mut known = keeper.as_ref().map(|k| k.list().clone()).unwrap_or_default();
+        let mut known = cache.as_ref().map(|c| c.list().clone()).unwrap_or_default();
         let narrowed = catalog.narrow(&mut known);
-        if let (true, Some(keeper)) = (narrowed.changed, &keeper) {
-            keeper.keep(known.clone());
+        if let (true, Some(cache)) = (narrowed.changed, &cache) {
+            cache.keep(known.clone());
         }
         let grace = self.facts.settings().rules.drain_grace;
         let grace = Duration::from_micros(grace.0.max(0) as u64);
@@ -247,25 +247,25 @@
         };
         figures.revision.set(known.revision);
         figures.running.set(true);
-        self.told(&mut balancer, figures, &known, ListKind::Restored);
+        self.notify_balancer(&mut balancer, figures, &known, ListKind::Restored);
         // Each begins elsewhere, or all would read from the first.
         let mut addresses = self.config.lists.listen.clone();
         let first = number % addresses.len();
         addresses.rotate_left(first);
         let mode = Mode::Pushed { grace };
-        let follow = WatchPlanner::new(addresses, mode, known.revision, Instant::now());
-        let follow = if narrowed.whole { follow } else { follow.requesting_full_list() };
+        let planner = WatchPlanner::new(addresses, mode, known.revision, Instant::now());
+        let planner = if narrowed.whole { planner } else { planner.requesting_full_list() };
         let filter = catalog.names().map_or_else(Filter::all, Filter::services);
         // Held open: nobody moves the list of a hollow balancer.
-        let (_orders, ordered) = mpsc::unbounded_channel();
-        let (tell, mut news) = mpsc::unbounded_channel();
-        let counted = figures.clone();
+        let (_commands, commands) = mpsc::unbounded_channel();
+        let (sender, mut events) = mpsc::unbounded_channel();
+        let stream_figures = figures.clone();
         let connect = move |address| {
-            let figures = counted.clone();
-            async move { Ok(Counted { stream: client::connect(address).await?, figures }) }
+            let figures = stream_figures.clone();
+            async move { Ok(CountingStream { stream: client::connect(address).await?, figures }) }
         };
-        let tell = move |news| drop(tell.send(news));
-        let client = client::run(follow, filter, connect, ordered, tell);
+        let on_event = move |event| drop(sender.send(event));
+        let client = client::run(planner, filter, connect, commands, on_event);
         let _client = AbortOnDrop(tokio::task::spawn_local(client));
         loop {
             let due = balancer.due().map(|due| self.clock.instant(due));
@@ -277,71 +277,72 @@
             };
             tokio::select! {
                 biased;
-                heard = news.recv() => match heard {
-                    Some(heard) => self.heard(&mut balancer, figures, &keeper, heard),
+                event = events.recv() => match event {
+                    Some(event) => self.handle_list_event(&mut balancer, figures, &cache, event),
                     None => return,
                 },
                 () = sleep => {
-                    if due.is_some_and(|due| due.elapsed() > STALL) {
-                        settle(|| false).await;
-                        while let Ok(heard) = news.try_recv() {
-                            self.heard(&mut balancer, figures, &keeper, heard);
+                    if due.is_some_and(|due| due.elapsed() > STALL_THRESHOLD) {
+                        yield_until(|| false).await;
+                        while let Ok(event) = events.try_recv() {
+                            self.handle_list_event(&mut balancer, figures, &cache, event);
                         }
                     }
-                    self.metered(figures, || balancer.pass(self.clock.now()));
+                    self.measure_policy(figures, || balancer.fire_due_timers(self.clock.now()));
                 }
             }
         }
     }
 
-    fn heard(
+    fn handle_list_event(
         &self,
         balancer: &mut HollowBalancer,
         figures: &BalancerFigures,
-        keeper: &Option<ListCache>,
-        news: ListEvent,
+        cache: &Option<ListCache>,
+        event: ListEvent,
     ) {
         // A watch lost is told only where lists are asked for.
-        let ListEvent::Updated(list) = news else { return };
-        figures.took(list.revision, list.members.len(), list.complete);
+        let ListEvent::Updated(list) = event else { return };
+        figures.record_message(list.revision, list.members.len(), list.complete);
         let kind = if list.complete { ListKind::Full } else { ListKind::Update };
-        self.told(balancer, figures, &list, kind);
-        if let Some(keeper) = keeper {
-            keeper.keep(list);
+        self.notify_balancer(balancer, figures, &list, kind);
+        if let Some(cache) = cache {
+            cache.keep(list);
         }
     }
 
-    fn told(
+    fn notify_balancer(
         &self,
         balancer: &mut HollowBalancer,
         figures: &BalancerFigures,
         list: &Message,
         kind: ListKind,
     ) {
-        balancer.take(list);
+        balancer.apply_message(list);
         figures.members.set(balancer.members() as u64);
         figures.digest.set(balancer.digest());
-        let told = self.metered(figures, || balancer.tell(self.clock.now(), list, kind));
-        add(&figures.services_told, told as u64);
+        let notified =
+            self.measure_policy(figures, || balancer.notify_services(self.clock.now(), list, kind));
+        add(&figures.services_told, notified as u64);
     }
 
-    fn metered<T>(&self, figures: &BalancerFigures, module: impl FnOnce() -> T) -> T {
+    fn measure_policy<T>(&self, figures: &BalancerFigures, policy: impl FnOnce() -> T) -> T {
         let before = processor_ns(ClockId::ThreadCPUTime);
-        let said = module();
-        figures.told_module(processor_ns(ClockId::ThreadCPUTime).saturating_sub(before));
-        said
+        let result = policy();
+        figures.record_policy_call(processor_ns(ClockId::ThreadCPUTime).saturating_sub(before));
+        result
     }
 
     fn start_upstream(self: &Rc<Self>, i: usize, after: Duration) {
         let (this, slot) = (self.clone(), &self.upstreams[i]);
         slot.running.set(true);
-        let keep = async move {
+        let keep_registered = async move {
             sleep(after).await;
             let slot = &this.upstreams[i];
             let member = slot.upstream.member(this.clock.unix_ms());
             registration::keep(&slot.instances, &member, this.config.ttl()).await;
         };
-        let task = tokio::task::spawn_local(keep.with_subscriber(self.dispatch.clone()));
+        let task = tokio::task::spawn_local(keep_registered.with_subscriber(self.dispatch.clone()));
         *slot.task.borrow_mut() = Some(AbortOnDrop(task));
     }
 
@@ -349,20 +350,20 @@
         let slot = &self.upstreams[i];
         slot.running.set(false);
         *slot.task.borrow_mut() = None;
-        self.tally.ended(&slot.upstream.id());
+        self.tally.remove_registered(&slot.upstream.id());
     }
 
-    fn upstreams(self: &Rc<Self>, order: &Order<UpstreamFault>) -> usize {
+    fn apply_to_upstreams(self: &Rc<Self>, order: &Order<UpstreamFault>) -> usize {
         let all = self.upstreams.iter().map(|s| &s.upstream);
-        let chosen = order.chosen(all.map(|u| (u.zone.as_str(), u.service.as_str())));
+        let chosen = order.select_indices(all.map(|u| (u.zone.as_str(), u.service.as_str())));
         for &i in &chosen {
-            let after = self.draw(i, Duration::from_millis(order.spread_ms));
+            let after = self.random_delay(i, Duration::from_millis(order.spread_ms));
             let (this, fault) = (self.clone(), order.fault);
             if fault == UpstreamFault::Return {
                 self.start_upstream(i, after);
                 continue;
             }
-            let said = async move {
+            let execution = async move {
                 sleep(after).await;
                 let UpstreamSlot { upstream, instances, .. } = &this.upstreams[i];
                 if fault != UpstreamFault::Drain {
@@ -371,7 +372,7 @@
                 match fault {
                     UpstreamFault::Drain => {
                         let body = json!({"id": upstream.id(), "phase": "DRAINING"});
-                        match instances.post("/admin/members/phase", &body, SAY_WITHIN).await {
+                        match instances.post("/admin/members/phase", &body, CALL_TIMEOUT).await {
                             Ok((StatusCode::OK, _)) => {}
                             Ok((status, _)) => tracing::warn!(%status, "not drained"),
                             Err(cause) => tracing::warn!(%cause, "not drained"),
@@ -379,20 +380,20 @@
                     }
                     UpstreamFault::Leave => {
                         let member = upstream.member(0);
-                        registration::leave(instances, &member, SAY_WITHIN).await;
+                        registration::leave(instances, &member, CALL_TIMEOUT).await;
                     }
                     UpstreamFault::Die | UpstreamFault::Return => {}
                 }
             };
-            drop(tokio::task::spawn_local(said.with_subscriber(self.dispatch.clone())));
+            drop(tokio::task::spawn_local(execution.with_subscriber(self.dispatch.clone())));
         }
         chosen.len()
     }
 
-    fn balancers(self: &Rc<Self>, order: &Order<BalancerFault>) -> usize {
-        let chosen = order.chosen(self.balancers.iter().map(|b| (b.zone.as_str(), "")));
+    fn apply_to_balancers(self: &Rc<Self>, order: &Order<BalancerFault>) -> usize {
+        let chosen = order.select_indices(self.balancers.iter().map(|b| (b.zone.as_str(), "")));
         for &i in &chosen {
-            let after = self.draw(i, Duration::from_millis(order.spread_ms));
+            let after = self.random_delay(i, Duration::from_millis(order.spread_ms));
             match order.fault {
                 BalancerFault::Drop => {
                     let this = self.clone();
@@ -413,18 +414,22 @@
         let path = call.path.as_str();
         match (path, call.method == Method::GET, call.method == Method::POST) {
             ("/metrics", true, _) => self.metrics(),
-            ("/admin/stats", true, _) => say(StatusCode::OK, &self.sums()),
+            ("/admin/stats", true, _) => say(StatusCode::OK, &self.summary()),
             ("/admin/hollow", true, _) => {
-                let mut all = self.sums();
-                let each = self.balancers.iter().map(|b| b.figures.told(&b.id, &b.zone));
+                let mut all = self.summary();
+                let each = self.balancers.iter().map(|b| b.figures.to_json(&b.id, &b.zone));
                 all["each"] = each.collect();
                 say(StatusCode::OK, &all)
             }
             (path, true, _) if reads.contains(&path) => {
                 say(StatusCode::OK, &json!({"ready": true}))
             }
-            ("/admin/hollow/upstreams", _, true) => ordered(&call.body, |o| self.upstreams(o)),
-            ("/admin/hollow/balancers", _, true) => ordered(&call.body, |o| self.balancers(o)),
+            ("/admin/hollow/upstreams", _, true) => {
+                execute_command(&call.body, |o| self.apply_to_upstreams(o))
+            }
+            ("/admin/hollow/balancers", _, true) => {
+                execute_command(&call.body, |o| self.apply_to_balancers(o))
+            }
             ("/admin/hollow/upstreams" | "/admin/hollow/balancers", ..) => {
                 error(StatusCode::METHOD_NOT_ALLOWED, "the method")
             }
@@ -439,13 +444,13 @@
         self.upstreams.iter().filter(|s| s.running.get()).count() as u64
     }
 
-    fn balancer_sums(&self) -> Balancers {
+    fn balancer_summary(&self) -> Balancers {
         Balancers::over(self.balancers.iter().map(|b| &*b.figures))
     }
 
-    fn sums(&self) -> Value {
+    fn summary(&self) -> Value {
         json!({
-            "balancers": self.balancer_sums(),
+            "balancers": self.balancer_summary(),
             "upstreams": {"running": self.running(), "calls": self.tally.counts()},
             "process": {
                 "processor_us": processor_ns(ClockId::ProcessCPUTime) / 1000,
@@ -455,8 +460,8 @@
     }
 
     fn metrics(&self) -> Reply {
-        let (mut text, counts) = (Text::new(), self.tally.counts());
-        self.balancer_sums().write(&mut text);
+        let (mut text, counts) = (MetricsText::new(), self.tally.counts());
+        self.balancer_summary().write(&mut text);
         text.gauge("hollow_upstreams", "Upstreams that run", &[], self.running());
         let help = "Upstreams that know themselves in the list";
         text.gauge("hollow_registered", help, &[], counts.registered);
@@ -474,13 +479,13 @@
 }
 
 /// Reads an order, carries it out, and says how many it meant.
-fn ordered<F>(body: &[u8], carry_out: impl FnOnce(&Order<F>) -> usize) -> Reply
+fn execute_command<F>(body: &[u8], execute: impl FnOnce(&Order<F>) -> usize) -> Reply
 where
     Order<F>: DeserializeOwned,
 {
     let mut reader = serde_json::Deserializer::from_slice(body);
     match serde_path_to_error::deserialize(&mut reader) {
-        Ok(order) => say(StatusCode::OK, &json!({"chosen": carry_out(&order)})),
+        Ok(order) => say(StatusCode::OK, &json!({"chosen": execute(&order)})),
         Err(cause) => error(StatusCode::BAD_REQUEST, cause),
     }
 }
--- a/src/hollow/figures.rs
+++ b/src/hollow/figures.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
-use crate::figures::Text;
+use crate::figures::MetricsText;
 
 /// Counted where it happens; lives as long as the process, however often the balancer ends and returns.
 #[derive(Debug, Default)]
@@ -45,14 +45,14 @@
 
 impl BalancerFigures {
     /// The module was told something, which took so long.
-    pub fn told_module(&self, ns: u64) {
+    pub fn record_policy_call(&self, ns: u64) {
         add(&self.module_ns, ns);
         add(&self.module_calls, 1);
         self.module_longest_ns.set(self.module_longest_ns.get().max(ns));
     }
 
     /// A list of this revision is taken.
-    pub fn took(&self, revision: u64, entries: usize, whole: bool) {
+    pub fn record_message(&self, revision: u64, entries: usize, whole: bool) {
         add(&self.went_back, u64::from(revision < self.revision.get()));
         add(&self.messages, 1);
         add(&self.whole_lists, u64::from(whole));
@@ -61,7 +61,7 @@
     }
 
     /// As operators read it.
-    pub fn told(&self, id: &str, zone: &str) -> Value {
+    pub fn to_json(&self, id: &str, zone: &str) -> Value {
         json!({
             "id": id, "zone": zone, "running": self.running.get(),
             "revision": self.revision.get(), "went_back": self.went_back.get(),
@@ -77,14 +77,14 @@
 
 /// One figure over all balancers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Spread {
+pub struct MeanAndLargest {
     /// Sum over all, rounded down to the mean.
     pub mean: u64,
     /// The largest.
     pub largest: u64,
 }
 
-impl Spread {
+impl MeanAndLargest {
     /// Over these values.
     pub fn over(values: impl Iterator<Item = u64>) -> Self {
         let (mut sum, mut count, mut largest) = (0, 0, 0);
@@ -107,17 +107,17 @@
     /// Lists taken that were older than the one held.
     pub went_back: u64,
     /// Messages taken.
-    pub messages: Spread,
+    pub messages: MeanAndLargest,
     /// Whole lists among them.
-    pub whole_lists: Spread,
+    pub whole_lists: MeanAndLargest,
     /// Entries in them.
-    pub entries: Spread,
+    pub entries: MeanAndLargest,
     /// Bytes read.
-    pub bytes: Spread,
+    pub bytes: MeanAndLargest,
     /// Services that were told of a list or a change.
-    pub services_told: Spread,
+    pub services_told: MeanAndLargest,
     /// Microseconds of processor time in the module.
-    pub module_us: Spread,
+    pub module_us: MeanAndLargest,
 }
 
 impl Balancers {
@@ -125,7 +125,7 @@
     pub fn over<'a>(all: impl Iterator<Item = &'a BalancerFigures> + Clone) -> Self {
         let running = all.clone().filter(|b| b.running.get());
         let revisions = running.clone().map(|b| b.revision.get());
-        let spread = |of: fn(&BalancerFigures) -> u64| Spread::over(all.clone().map(of));
+        let spread = |of: fn(&BalancerFigures) -> u64| MeanAndLargest::over(all.clone().map(of));
         Self {
             running: running.count() as u64,
             lowest_revision: revisions.clone().min().unwrap_or(0),
@@ -141,7 +141,7 @@
     }
 
     /// For a scrape.
-    pub fn write(&self, text: &mut Text) {
+    pub fn write(&self, text: &mut MetricsText) {
         text.gauge("hollow_balancers", "Balancers that run", &[], self.running);
         let help = "Revision of the list held, lowest and highest over the balancers";
         text.gauge("hollow_revision", help, &[("of", "lowest")], self.lowest_revision);
--- a/src/hollow/figures/tests.rs
+++ b/src/hollow/figures/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn a_revision_that_goes_back_is_counted_and_an_equal_one_is_not() {
+fn only_lower_revisions_count_as_moved_backwards() {
     let figures = BalancerFigures::default();
     for (revision, back) in [(5, 0), (5, 0), (4, 1), (6, 1), (2, 2)] {
-        figures.took(revision, 3, revision == 2);
+        figures.record_message(revision, 3, revision == 2);
         assert_eq!(figures.went_back.get(), back, "at {revision}");
     }
     assert_eq!((figures.messages.get(), figures.entries.get()), (5, 15));
@@ -12,25 +12,25 @@
 }
 
 #[test]
-fn sums_tell_the_mean_the_largest_and_the_revisions_of_those_that_run() {
+fn summary_has_mean_largest_and_revisions_of_running_balancers() {
     let all = [BalancerFigures::default(), BalancerFigures::default(), BalancerFigures::default()];
     for (i, figures) in all.iter().enumerate() {
-        figures.took(10 + i as u64, 1, false);
+        figures.record_message(10 + i as u64, 1, false);
         figures.bytes.set(100 * (i as u64 + 1));
         // The one that is ahead does not run.
         figures.running.set(i < 2);
     }
     let sums = Balancers::over(all.iter());
     assert_eq!((sums.running, sums.lowest_revision, sums.highest_revision), (2, 10, 11));
-    assert_eq!(sums.bytes, Spread { mean: 200, largest: 300 });
+    assert_eq!(sums.bytes, MeanAndLargest { mean: 200, largest: 300 });
     assert_eq!(Balancers::over([].iter()), Balancers::default());
 }
 
 #[test]
-fn the_module_time_is_summed_and_its_longest_kept() {
+fn policy_time_is_summed_and_its_maximum_recorded() {
     let figures = BalancerFigures::default();
     for ns in [5_000, 9_000, 1_000] {
-        figures.told_module(ns);
+        figures.record_policy_call(ns);
     }
     assert_eq!((figures.module_ns.get(), figures.module_calls.get()), (15_000, 3));
     assert_eq!(figures.module_longest_ns.get(), 9_000);
--- a/src/hollow/tally.rs
+++ b/src/hollow/tally.rs
@@ -43,9 +43,9 @@
 
 /// The `id` of an event.
 #[derive(Default)]
-struct Named(Option<String>);
+struct IdVisitor(Option<String>);
 
-impl Visit for Named {
+impl Visit for IdVisitor {
     fn record_str(&mut self, field: &Field, value: &str) {
         if field.name() == "id" {
             self.0 = Some(value.to_owned());
@@ -73,26 +73,26 @@
     }
 
     /// This one does not renew any more.
-    pub fn ended(&self, id: &str) {
+    pub fn remove_registered(&self, id: &str) {
         self.state().registered.remove(id);
     }
 
     /// Counts one line; whether it is worth writing: the first, second, fourth and so on of its kind.
     fn count(&self, level: Level, id: String) -> bool {
         let mut state = self.state();
-        let known = state.registered.contains(&id);
+        let already_registered = state.registered.contains(&id);
         let counts = &mut state.counts;
-        let count = match (level, known) {
+        let count = match (level, already_registered) {
             (Level::INFO, _) => &mut counts.registrations,
             (_, false) => &mut counts.failed_registrations,
             (_, true) => &mut counts.failed_renewals,
         };
         *count += 1;
-        let worth = count.is_power_of_two();
+        let write = count.is_power_of_two();
         if level == Level::INFO {
             state.registered.insert(id);
         }
-        worth
+        write
     }
 }
 
@@ -123,9 +123,9 @@
     }
     fn event(&self, event: &Event<'_>) {
         if event.metadata().target() == TARGET {
-            let mut named = Named::default();
-            event.record(&mut named);
-            if !named.0.is_none_or(|id| self.count(*event.metadata().level(), id)) {
+            let mut visitor = IdVisitor::default();
+            event.record(&mut visitor);
+            if !visitor.0.is_none_or(|id| self.count(*event.metadata().level(), id)) {
                 return;
             }
         }
--- a/src/hollow/upstream.rs
+++ b/src/hollow/upstream.rs
@@ -6,7 +6,7 @@
 use crate::discovery::member::{Member, Phase};
 
 /// Upstreams to a cell.
-const CELL: usize = 8;
+const UPSTREAMS_PER_CELL: usize = 8;
 
 /// One hollow upstream as it is before it ever registered.
 #[derive(Clone, Debug, PartialEq)]
@@ -45,7 +45,7 @@
             host_port: format!("10.{}.{}.{}:8081", n >> 16 & 0xff, n >> 8 & 0xff, n & 0xff),
             locality: self.zone.clone(),
             flavor: String::new(),
-            cell: (n / CELL) as u32,
+            cell: (n / UPSTREAMS_PER_CELL) as u32,
             phase: Phase::Serving,
             size: 1.0,
             up_since_ms: up_since_ms as f64,
@@ -98,10 +98,13 @@
 
 impl<Fault> Order<Fault> {
     /// The indices of those that are meant, of a zone and a service each.
-    pub fn chosen<'a>(&self, all: impl Iterator<Item = (&'a str, &'a str)>) -> Vec<usize> {
-        let fits = |wanted: &Option<String>, has: &str| wanted.as_deref().is_none_or(|w| w == has);
+    pub fn select_indices<'a>(&self, all: impl Iterator<Item = (&'a str, &'a str)>) -> Vec<usize> {
+        let matches =
+            |wanted: &Option<String>, has: &str| wanted.as_deref().is_none_or(|w| w == has);
         all.enumerate()
-            .filter(|(_, (zone, service))| fits(&self.zone, zone) && fits(&self.service, service))
+            .filter(|(_, (zone, service))| {
+                matches(&self.zone, zone) && matches(&self.service, service)
+            })
             .map(|(i, _)| i)
             .take(self.count.unwrap_or(usize::MAX))
             .collect()
--- a/src/hollow/upstream/tests.rs
+++ b/src/hollow/upstream/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn each_has_an_id_and_an_address_of_its_own_that_the_list_takes() {
+fn ids_and_addresses_are_distinct_and_valid() {
     let all = HollowUpstream::all(&config());
     let members: Vec<_> = all.iter().map(|u| u.member(5)).collect();
     assert!(members.iter().all(|m| m.fault().is_none()));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn zones_and_services_are_spread_evenly_and_every_service_is_in_every_zone() {
+fn every_service_has_equally_many_upstreams_in_every_zone() {
     let all = HollowUpstream::all(&config());
     for zone in ["a", "b", "c"] {
         for service in 0..10 {
@@ -33,11 +33,11 @@
 }
 
 #[test]
-fn an_order_means_those_that_fit_all_that_it_names() {
+fn a_command_selects_upstreams_that_match_all_its_fields() {
     let all = HollowUpstream::all(&config());
     let chosen = |text: &str| {
         let order: Order<UpstreamFault> = serde_json::from_str(text).expect("an order");
-        order.chosen(all.iter().map(|u| (u.zone.as_str(), u.service.as_str())))
+        order.select_indices(all.iter().map(|u| (u.zone.as_str(), u.service.as_str())))
     };
     assert_eq!(chosen("{\"do\":\"die\"}").len(), 60);
     assert_eq!(chosen("{\"do\":\"die\",\"zone\":\"b\"}").len(), 20);
--- a/src/roles/mod.rs
+++ b/src/roles/mod.rs
@@ -31,7 +31,7 @@
 use crate::replica::machine::Machine;
 use crate::replica::storage::RaftStorage;
 use crate::signals::{SignalKind, Signals};
-use crate::stand_in::Manner;
+use crate::stand_in::StandInOptions;
 use crate::store::Recovery;
 use crate::store::log::{self, Contents};
 use crate::tasks::AbortOnDrop;
@@ -158,7 +158,7 @@
 /// [`RoleError`] where it can't start.
 pub fn stand_in(args: StandInArgs) -> Result<(), RoleError> {
     let ttl = Duration::from_millis(args.ttl_ms);
-    let manner = Manner {
+    let options = StandInOptions {
         name: args.name.clone(),
         delay: Duration::from_millis(args.delay_ms),
         error_every: args.error_every,
@@ -177,7 +177,7 @@
             up_since_ms: unix.as_millis() as f64,
             service: args.service,
         };
-        let serving = crate::stand_in::serve(listener, manner);
+        let serving = crate::stand_in::serve(listener, options);
         let Ok(instances) = Instances::new(args.services) else {
             return until_stopped(serving).await.map(drop);
         };
--- a/src/stand_in/mod.rs
+++ b/src/stand_in/mod.rs
@@ -21,7 +21,7 @@
 
 /// How it answers.
 #[derive(Clone, Debug)]
-pub struct Manner {
+pub struct StandInOptions {
     /// What it answers with, and a newline.
     pub name: String,
     /// How long each answer takes.
@@ -31,23 +31,24 @@
 }
 
 /// Serves until the task is dropped: every request, whatever its path, is answered so; a body over 64 KiB gets 413.
-pub async fn serve(listener: TcpListener, manner: Manner) {
-    let (name, count) = (Bytes::from(format!("{}\n", manner.name)), Cell::new(0_u64));
-    let manner = Rc::new((manner, name, count));
+pub async fn serve(listener: TcpListener, options: StandInOptions) {
+    let (name, count) = (Bytes::from(format!("{}\n", options.name)), Cell::new(0_u64));
+    let state = Rc::new((options, name, count));
     calls::accept(listener, move |stream| {
-        let manner = manner.clone();
+        let state = state.clone();
         async move {
             let service = service_fn(move |request: Request<Incoming>| {
-                let manner = manner.clone();
+                let state = state.clone();
                 async move {
-                    let (Manner { delay, error_every, .. }, name, count) = &*manner;
-                    let whole = Limited::new(request.into_body(), LIMIT).collect().await.is_ok();
+                    let (StandInOptions { delay, error_every, .. }, name, count) = &*state;
+                    let body_complete =
+                        Limited::new(request.into_body(), LIMIT).collect().await.is_ok();
                     if !delay.is_zero() {
                         sleep(*delay).await;
                     }
                     count.set(count.get() + 1);
                     let mut answer = Response::new(Full::new(name.clone()));
-                    if !whole {
+                    if !body_complete {
                         *answer.status_mut() = StatusCode::PAYLOAD_TOO_LARGE;
                     } else if count.get().checked_rem(*error_every) == Some(0) {
                         *answer.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
--- a/src/tasks/mod.rs
+++ b/src/tasks/mod.rs
@@ -2,14 +2,14 @@
 
 use tokio::task::{JoinHandle, yield_now};
 
-/// Turns that [`settle`] gives: what comes on a socket passes through a handful of tasks, and a long message comes in
+/// Turns that [`yield_until`] gives: what comes on a socket passes through a handful of tasks, and a long message comes in
 /// several pieces.
-const TURNS: usize = 16;
+const MAX_YIELDS: usize = 16;
 
 /// Gives all tasks of this thread some turns. For a process that stood still (a timer that fires late tells of it): what
 /// has come for it meanwhile is read before it goes on. Ends early once there is `enough`.
-pub async fn settle(enough: impl Fn() -> bool) {
-    for _ in 0..TURNS {
+pub async fn yield_until(enough: impl Fn() -> bool) {
+    for _ in 0..MAX_YIELDS {
         yield_now().await;
         if enough() {
             return;
