--- a/src/figures/mod.rs
+++ b/src/figures/mod.rs
@@ -1,5 +1,5 @@
-//! What operators are told of the service, counted where it happens and never taken back. Counted and written in
-//! Prometheus's text format by the `prometheus-client` crate.
+//! Metrics of the proxy. Counters are incremented where the event happens and never decremented. The
+//! `prometheus-client` crate holds them and encodes them in Prometheus's text format.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -22,7 +22,6 @@
 use crate::interface::Outcome;
 use crate::invariants::violations::Violations;
 
-/// The content type of Prometheus's text format.
 const PROMETHEUS_CONTENT_TYPE: &str = "text/plain; version=0.0.4; charset=utf-8";
 
 type Labels = Vec<(String, String)>;
@@ -32,7 +31,7 @@
     pairs.iter().map(|(name, value)| ((*name).to_owned(), (*value).to_owned())).collect()
 }
 
-/// Figures read off for one scrape, for what is counted elsewhere.
+/// Metrics of a single scrape, built from values that are counted elsewhere.
 #[derive(Default)]
 pub struct MetricsText {
     registry: Registry,
@@ -41,12 +40,12 @@
 }
 
 impl MetricsText {
-    /// Nothing yet.
+    /// Creates an empty set of metrics.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A figure that may fall.
+    /// Adds a gauge, with one series for these label pairs.
     pub fn gauge(&mut self, name: &'static str, help: &str, pairs: &[(&str, &str)], value: u64) {
         let family = self.gauges.entry(name).or_insert_with(|| {
             let family = Family::default();
@@ -56,7 +55,7 @@
         family.get_or_create(&labels(pairs)).set(value);
     }
 
-    /// A figure that only rises; `_total` is added to its name.
+    /// Adds a counter, with one series for these label pairs; the encoder appends `_total` to its name.
     pub fn counter(&mut self, name: &'static str, help: &str, pairs: &[(&str, &str)], value: u64) {
         let family = self.counters.entry(name).or_insert_with(|| {
             let family = Family::default();
@@ -66,7 +65,7 @@
         family.get_or_create(&labels(pairs)).inc_by(value);
     }
 
-    /// The answer to a scrape.
+    /// The response to the scrape: 200 with the encoded metrics, or 500 if encoding fails.
     pub fn reply(&self) -> Response<Full<Bytes>> {
         encode_response(&self.registry)
     }
@@ -83,11 +82,11 @@
 /// How a request ended, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// With an upstream's answer.
+    /// With the response of an upstream.
     Served,
-    /// Trying again is harmless.
+    /// Rejected; the client can safely retry.
     Refused,
-    /// Neither.
+    /// With any other failure.
     Failed,
 }
 
@@ -99,7 +98,7 @@
     errors: Counter,
 }
 
-/// What one upstream did with the attempts it was sent, as this proxy saw it.
+/// Metrics of the attempts sent to one upstream, as this proxy observed them.
 pub struct Upstream {
     served: Counter,
     errors: Counter,
@@ -109,14 +108,15 @@
 }
 
 impl Upstream {
-    /// An attempt there ended so after this time. One that was withdrawn or never issued tells nothing of it.
+    /// Records the outcome of an attempt and its latency. Cancelled attempts and attempts that were not sent are not
+    /// counted, because they say nothing about the upstream.
     pub fn record_attempt(&self, outcome: Outcome, latency: Duration) {
         match outcome {
             Outcome::Ok => {
                 self.served.inc();
                 self.latency.observe(latency.as_secs_f64());
             }
-            // The time waited is the least that it would have taken.
+            // The time waited is a lower bound of the latency.
             Outcome::Timeout => {
                 self.errors.inc();
                 self.latency.observe(latency.as_secs_f64());
@@ -129,33 +129,33 @@
     }
 }
 
-/// Upper bounds of the latency buckets, in seconds: 1 ms to some 20 s, each a third above the one before.
+/// Creates a latency histogram with bucket bounds from 1 ms to about 20 s, each a third above the previous one.
 fn latency_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.001, 4.0 / 3.0, 36))
 }
 
-/// The figures of one proxy.
+/// The metrics of one proxy.
 pub struct Figures {
     registry: Registry,
     requests: Family<Labels, Counter>,
     responses: RefCell<Vec<Responses>>,
-    /// Where the classes of each service begin there.
+    /// Index in `responses` of the first class of each service.
     services: RefCell<FxHashMap<String, usize>>,
-    /// Attempts whose last byte was handed over to an upstream; the streams to upstreams count them.
+    /// Attempts whose last byte was written to an upstream; incremented by the upstream connections.
     pub tries: Counter,
-    /// Rules of the protocol that were broken.
+    /// Violations of protocol rules.
     pub violations: Violations,
     active: Gauge,
     pool: [Gauge; 2],
     attempts: Family<Labels, Counter>,
     latencies: Family<Labels, Histogram, fn() -> Histogram>,
-    /// Upstreams are told apart only where operators can ask.
+    /// Whether metrics are recorded per upstream; only if there is a management address to read them at.
     per_upstream: bool,
 }
 
 impl Figures {
-    /// Of a proxy whose services are told of by [`Figures::register_service`]; `per_upstream` is whether operators have an address to
-    /// ask at.
+    /// Creates the metrics of a proxy, without services: [`Figures::register_service`] adds them. `per_upstream` is
+    /// whether the proxy has a management address, where metrics per upstream can be read.
     pub fn new(per_upstream: bool) -> Rc<Self> {
         let mut registry = Registry::default();
         let requests = Family::<Labels, Counter>::default();
@@ -195,8 +195,9 @@
         })
     }
 
-    /// A service is served from now on; the name of a proxy's only one is empty. Every class is there from the start:
-    /// an absent one could not be told from one that is never counted.
+    /// Adds the series of a service, unless it has them already. The name is empty if the proxy has a single service.
+    /// Every class is present from the start, at 0: a missing series could not be told apart from one that is never
+    /// incremented.
     pub fn register_service<'a>(&self, service: &str, classes: impl Iterator<Item = &'a str>) {
         let mut services = self.services.borrow_mut();
         if services.contains_key(service) {
@@ -222,14 +223,14 @@
         }
     }
 
-    /// A request of this service has been taken.
+    /// Counts a request of this service as active until the returned guard is dropped.
     pub fn start_request(self: &Rc<Self>, service: &str, class: usize) -> ActiveRequest {
         self.active.inc();
         let class = self.services.borrow().get(service).map(|first| first + class);
         ActiveRequest { figures: self.clone(), class, end: Cell::new(None) }
     }
 
-    /// The figures of this upstream; `None` where nobody can ask for them.
+    /// The metrics of this upstream; `None` if metrics are not recorded per upstream.
     pub fn upstream(&self, id: &str) -> Option<Upstream> {
         let counter =
             |end| self.attempts.get_or_create(&labels(&[("upstream", id), ("end", end)])).clone();
@@ -242,7 +243,7 @@
         })
     }
 
-    /// This upstream is gone for good.
+    /// Removes the series of an upstream that has left the list for good.
     pub fn remove_upstream(&self, id: &str) {
         for end in ["served", "errors", "refused", "unreachable"] {
             self.attempts.remove(&labels(&[("upstream", id), ("end", end)]));
@@ -250,7 +251,7 @@
         self.latencies.remove(&labels(&[("upstream", id)]));
     }
 
-    /// The figures as operators read them, with what the module tells of its upstreams.
+    /// The metrics as JSON, with the number of upstreams in the list and of those avoided now.
     pub fn to_json(&self, (pool_size, pool_ejected): (usize, usize)) -> Value {
         let mut responses = Map::new();
         for r in self.responses.borrow().iter() {
@@ -270,7 +271,7 @@
         })
     }
 
-    /// The same and the upstreams', as Prometheus reads them.
+    /// The response to a Prometheus scrape: the same metrics and those per upstream.
     pub fn prometheus_response(&self, (size, ejected): (usize, usize)) -> Response<Full<Bytes>> {
         self.pool[0].set(size as i64);
         self.pool[1].set(ejected as i64);
@@ -278,8 +279,9 @@
     }
 }
 
-/// A request from its last byte to the last byte of its answer. It goes with the answer, and counts when that
-/// is done with; a client that left before there was one counts under nothing.
+/// A guard of an active request, from the last byte of the request to the last byte of the response. It is dropped
+/// with the response and then counts the request by its end; a request whose client left before there was a response
+/// has no end and is not counted.
 pub struct ActiveRequest {
     figures: Rc<Figures>,
     class: Option<usize>,
@@ -287,7 +289,7 @@
 }
 
 impl ActiveRequest {
-    /// What it will count as; the last word holds.
+    /// Sets how the request is counted when the guard is dropped; the last call wins.
     pub fn set_end(&self, end: End) {
         self.end.set(Some(end));
     }
--- a/src/hollow/balancer.rs
+++ b/src/hollow/balancer.rs
@@ -1,5 +1,6 @@
-//! A balancer without sockets: its services with their timers, as a proxy holds them ([`crate::services`]), and the list
-//! that it holds. Pure: told the time and what came, answers when it is due.
+//! A simulated balancer without sockets: the services with their timers, as in a proxy ([`crate::services`]), and the
+//! member list. It does no I/O and reads no clock: the caller passes in the time and the messages, and asks when the
+//! next timer is due.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -12,7 +13,7 @@
 use crate::interface::{Action, Event, ListKind, SettingsError, Time};
 use crate::services::{Catalog, Notified, ServiceId, Services};
 
-/// One entry's part of a [`digest`].
+/// Hash of one entry; a [`digest`] is the sum of these.
 fn entry_hash(entry: &Entry) -> u64 {
     let mut hasher = FxHasher::default();
     (&entry.id, &entry.host_port, &entry.locality, entry.phase as u8).hash(&mut hasher);
@@ -20,16 +21,17 @@
     hasher.finish()
 }
 
-/// What two holders of the same list have in common, in whatever order they hold it. Of one build only.
+/// A digest of the list that does not depend on the order of its entries, to check that two processes hold the same
+/// list. Comparable only between processes of the same build.
 pub fn digest(list: &[Entry]) -> u64 {
     list.iter().map(entry_hash).fold(0, u64::wrapping_add)
 }
 
-/// The list as one balancer holds it.
+/// The member list of one balancer.
 #[derive(Debug, Default)]
 struct HeldList {
     ids: FxHashMap<String, usize>,
-    /// The part of the digest, of those that are in the list.
+    /// Hash of each entry by its index in `ids`; `None` if the entry is not in the list now.
     hashes: Vec<Option<u64>>,
     members: usize,
     digest: u64,
@@ -67,7 +69,7 @@
     }
 }
 
-/// One hollow balancer.
+/// One simulated balancer.
 pub struct HollowBalancer {
     services: Services,
     held: HeldList,
@@ -76,34 +78,35 @@
 }
 
 impl HollowBalancer {
-    /// One with the services of this catalog, that holds no list yet.
+    /// Creates a balancer with the services of this catalog and an empty list.
     ///
     /// # Errors
-    /// [`SettingsError`], of settings that no balancer takes.
+    /// [`SettingsError`] if the settings of a service are invalid.
     pub fn new(catalog: Rc<Catalog>, seed: u64, now: Time) -> Result<Self, SettingsError> {
         let services = Services::new(catalog, seed, now)?;
         let (held, timers) = (HeldList::default(), BinaryHeap::new());
         Ok(Self { services, held, timers, actions: Vec::new() })
     }
 
-    /// How many members its list has.
+    /// Number of members in the list.
     pub fn members(&self) -> usize {
         self.held.members
     }
 
-    /// The [`digest`] of its list.
+    /// The [`digest`] of the list.
     pub fn digest(&self) -> u64 {
         self.held.digest
     }
 
-    /// Takes a message into the list held, before the services are [told](Self::notify_services).
+    /// Applies a message to the list. Called before [`Self::notify_services`].
     pub fn apply_message(&mut self, list: &Message) {
         self.held.apply_message(list);
     }
 
-    /// Tells the services what was [taken](Self::apply_message) last, each its own part of it; how many were told.
+    /// Notifies each service of its part of the message [applied](Self::apply_message) last. Returns the number of
+    /// services notified.
     pub fn notify_services(&mut self, now: Time, list: &Message, kind: ListKind) -> usize {
-        // There are no connections that its changes could concern.
+        // The status changes of upstreams are not needed: there are no connections to them.
         let Notified { members, .. } = self.services.told(list, kind);
         for (service, members) in &members {
             self.handle(now, *service, Event::Members { kind, list: members });
@@ -111,12 +114,12 @@
         members.len()
     }
 
-    /// When [`Self::fire_due_timers`] has something to do.
+    /// When the next timer is due; `None` if no timer is armed.
     pub fn due(&self) -> Option<Time> {
         self.timers.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// Time has passed: timers that are due are told to their services.
+    /// Passes all timers that are due at `now` to their services.
     pub fn fire_due_timers(&mut self, now: Time) {
         while let Some(Reverse((at, service, token))) = self.timers.peek().copied() {
             if at > now {
@@ -130,7 +133,7 @@
     fn handle(&mut self, now: Time, service: ServiceId, event: Event<'_>) {
         self.services.handle(now, service, event, &mut self.actions);
         for action in self.actions.drain(..) {
-            // Without requests and connections nothing else is asked for that could be done.
+            // Without requests and connections no other action can be carried out.
             if let Action::Arm { token, at } = action {
                 self.timers.push(Reverse((at, service, token)));
             }
--- a/src/hollow/balancer/tests.rs
+++ b/src/hollow/balancer/tests.rs
@@ -55,7 +55,7 @@
     );
     let list = [entry("w", Serving), entry("y", Draining), entry("x", Serving)];
     assert_eq!((balancer.members(), balancer.digest()), (3, digest(&list)));
-    // A whole list takes the place of all that it leaves out.
+    // A full list removes the members that it does not contain.
     notify(&mut balancer, true, vec![entry("z", Serving)]);
     assert_eq!((balancer.members(), balancer.digest()), (1, digest(&[entry("z", Serving)])));
     notify(&mut balancer, true, vec![]);
@@ -94,12 +94,12 @@
             (0..2 * services).map(of).collect()
         };
         assert_eq!(notify(&mut balancer, true, all(Phase::Serving)), services);
-        // The first service asks for all, and hears of each change.
+        // The first service requests the list for all services, so it is notified of every update.
         let change =
             |i: usize| entry_of(&format!("u-{i}"), &format!("service-{i}"), Phase::Draining);
         assert_eq!(notify(&mut balancer, false, vec![change(1)]), 2);
         assert_eq!(notify(&mut balancer, false, vec![change(0), change(2)]), 2);
         balancer.fire_due_timers(Time(60_000_000));
-        assert_eq!(balancer.due(), None, "all rest");
+        assert_eq!(balancer.due(), None, "no timer is armed while all services are idle");
     }
 }
--- a/src/hollow/driver.rs
+++ b/src/hollow/driver.rs
@@ -1,15 +1,16 @@
-//! The I/O of a process of hollow balancers and upstreams: a task for each, and the calls of operators.
+//! The I/O of a process with simulated balancers and upstreams: one task for each, and the management API.
 //!
 //! | call | body | |
 //! | --- | --- | --- |
 //! | `GET /admin/health`, `GET /-/ready` | | 200 |
-//! | `GET /admin/stats` | | the figures summed up |
-//! | `GET /admin/hollow` | | the same and each balancer's |
-//! | `GET /metrics` | | the sums in Prometheus's text format |
+//! | `GET /admin/stats` | | the summary of all balancers and upstreams |
+//! | `GET /admin/hollow` | | the summary, and the metrics of each balancer |
+//! | `GET /metrics` | | the summary in Prometheus's text format |
 //! | `POST /admin/hollow/upstreams` | `{do, zone?, service?, count?, spread_ms?}` | `die`, `drain`, `leave`, `return` |
 //! | `POST /admin/hollow/balancers` | `{do, zone?, count?, spread_ms?}` | `drop`, `return` |
 //!
-//! A call is answered once it is begun, with how many it meant; 400 for a body that can't be, with the key.
+//! A command is answered as soon as it has started, with the number of balancers or upstreams that it selected. An
+//! invalid body is answered with 400 and names the invalid key.
 
 use std::cell::{Cell, RefCell};
 use std::pin::Pin;
@@ -47,23 +48,24 @@
 use crate::settings::Facts;
 use crate::tasks::{AbortOnDrop, yield_until};
 
-/// A timer that fires so late tells that the process stood still: what came meanwhile is taken first.
+/// A timer that fires later than this shows that the process was stalled; list updates that arrived meanwhile are
+/// processed before the timer.
 const STALL_THRESHOLD: Duration = Duration::from_millis(250);
-/// How long one that drains or leaves tries to say so.
+/// Time limit of the call by which an upstream announces that it drains or leaves.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why the process can't start.
+/// An error that prevents the process from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum HollowError {
-    /// The configuration of the modules was refused.
+    /// The configuration of the balancers is invalid.
     #[error("{0}")]
     Config(#[from] ConfigError),
-    /// There is nowhere to register.
+    /// The addresses to register at are unusable.
     #[error("lists.management: {0}")]
     Lists(#[from] Undecided),
 }
 
-/// The clock of the modules: monotonic, and set once to Unix time.
+/// The clock of the policies: monotonic, aligned with Unix time once at the start.
 #[derive(Clone, Copy)]
 struct Clock {
     start: Instant,
@@ -86,20 +88,20 @@
     }
 }
 
-/// Processor time of this thread or process so far, in nanoseconds.
+/// CPU time used so far by this thread or process, in nanoseconds.
 fn processor_ns(clock: ClockId) -> u64 {
     let spent = clock_gettime(clock);
     spent.tv_sec as u64 * 1_000_000_000 + spent.tv_nsec as u64
 }
 
-/// Resident memory of this process in KiB, as the system tells; 0 where it does not.
+/// Resident memory of this process in KiB, from `/proc/self/status`; 0 if it can't be read.
 fn resident_kib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
     line.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0)
 }
 
-/// A stream that counts what is read from it.
+/// A stream that counts the bytes read from it.
 struct CountingStream<S> {
     stream: S,
     figures: Rc<BalancerFigures>,
@@ -149,7 +151,7 @@
     running: Cell<bool>,
 }
 
-/// The process.
+/// The simulated balancers and upstreams of this process.
 pub struct Hollow {
     config: HollowConfig,
     facts: Facts,
@@ -161,10 +163,10 @@
 }
 
 impl Hollow {
-    /// Nobody runs yet.
+    /// Creates the balancers and upstreams; none runs before [`Hollow::serve`].
     ///
     /// # Errors
-    /// [`HollowError`].
+    /// [`HollowError`] if the settings or the addresses in `lists.management` are invalid.
     pub fn new(config: HollowConfig) -> Result<Rc<Self>, HollowError> {
         let facts = config.facts()?;
         let tally = std::sync::Arc::new(Tally::new());
@@ -193,7 +195,7 @@
         Ok(Rc::new(Self { config, facts, clock, tally, dispatch, balancers, upstreams }))
     }
 
-    /// Starts everybody, and answers calls until the task is dropped.
+    /// Starts all balancers and upstreams, and serves the management API until the future is dropped.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         for i in 0..self.balancers.len() {
             self.start_balancer(i, Duration::ZERO);
@@ -206,7 +208,7 @@
         calls::serve(listener, |_| LIMIT, move |call| this.clone().answer(call)).await;
     }
 
-    /// A moment in `within`, of upstream or balancer `i`.
+    /// A random delay below `within` for upstream or balancer `i`, reproducible from the configured seed.
     fn random_delay(&self, i: usize, within: Duration) -> Duration {
         let seed = self.config.seed.wrapping_add((self.config.first + i) as u64);
         within.mul_f64(oorandom::Rand64::new(u128::from(seed)).rand_float())
@@ -221,17 +223,17 @@
         *self.balancers[i].task.borrow_mut() = Some(AbortOnDrop(task));
     }
 
-    /// One hollow balancer, as long as it is polled.
+    /// Runs one simulated balancer for as long as the future is polled.
     async fn run_balancer(&self, i: usize) {
         let BalancerSlot { number, id, figures, .. } = &self.balancers[i];
         let dir = self.config.state_dir.as_ref().map(|dir| dir.join(id));
         let cache = match dir.as_deref().map(ListCache::open).transpose() {
             Ok(cache) => cache,
-            Err(cause) => return tracing::error!(%cause, id, "state_dir"),
+            Err(cause) => return tracing::error!(%cause, id, "cannot open state_dir; not started"),
         };
         let catalog = match self.config.catalog(&self.facts, *number) {
             Ok(catalog) => Rc::new(catalog),
-            Err(cause) => return tracing::error!(%cause, id, "services"),
+            Err(cause) => return tracing::error!(%cause, id, "invalid services; not started"),
         };
         let mut known = cache.as_ref().map(|c| c.list().clone()).unwrap_or_default();
         let narrowed = catalog.narrow(&mut known);
@@ -243,12 +245,12 @@
         let seed = self.config.seed.wrapping_add(*number as u64);
         let mut balancer = match HollowBalancer::new(catalog.clone(), seed, self.clock.now()) {
             Ok(balancer) => balancer,
-            Err(cause) => return tracing::error!(%cause, id, "settings"),
+            Err(cause) => return tracing::error!(%cause, id, "invalid settings; not started"),
         };
         figures.revision.set(known.revision);
         figures.running.set(true);
         self.notify_balancer(&mut balancer, figures, &known, ListKind::Restored);
-        // Each begins elsewhere, or all would read from the first.
+        // Each balancer starts with another instance; otherwise all would read from the first one.
         let mut addresses = self.config.lists.listen.clone();
         let first = number % addresses.len();
         addresses.rotate_left(first);
@@ -256,7 +258,7 @@
         let planner = WatchPlanner::new(addresses, mode, known.revision, Instant::now());
         let planner = if narrowed.whole { planner } else { planner.requesting_full_list() };
         let filter = catalog.names().map_or_else(Filter::all, Filter::services);
-        // Held open: nobody moves the list of a hollow balancer.
+        // The sender is held so that the channel stays open; a simulated balancer never sends a command.
         let (_commands, commands) = mpsc::unbounded_channel();
         let (sender, mut events) = mpsc::unbounded_channel();
         let stream_figures = figures.clone();
@@ -301,7 +303,7 @@
         cache: &Option<ListCache>,
         event: ListEvent,
     ) {
-        // A watch lost is told only where lists are asked for.
+        // `Disconnected` is reported only when lists are polled on demand; simulated balancers watch the list.
         let ListEvent::Updated(list) = event else { return };
         figures.record_message(list.revision, list.members.len(), list.complete);
         let kind = if list.complete { ListKind::Full } else { ListKind::Update };
@@ -374,8 +376,12 @@
                         let body = json!({"id": upstream.id(), "phase": "DRAINING"});
                         match instances.post("/admin/members/phase", &body, CALL_TIMEOUT).await {
                             Ok((StatusCode::OK, _)) => {}
-                            Ok((status, _)) => tracing::warn!(%status, "not drained"),
-                            Err(cause) => tracing::warn!(%cause, "not drained"),
+                            Ok((status, _)) => {
+                                tracing::warn!(%status, "could not set the phase of a simulated upstream to DRAINING")
+                            }
+                            Err(cause) => {
+                                tracing::warn!(%cause, "could not set the phase of a simulated upstream to DRAINING")
+                            }
                         }
                     }
                     UpstreamFault::Leave => {
@@ -478,7 +484,7 @@
     }
 }
 
-/// Reads an order, carries it out, and says how many it meant.
+/// Parses a command, executes it, and answers with the number of balancers or upstreams that it selected.
 fn execute_command<F>(body: &[u8], execute: impl FnOnce(&Order<F>) -> usize) -> Reply
 where
     Order<F>: DeserializeOwned,
