--- a/src/hollow/config.rs
+++ b/src/hollow/config.rs
@@ -1,4 +1,4 @@
-//! The TOML file of a process of hollow balancers and upstreams.
+//! The TOML configuration file of a process with simulated balancers and upstreams.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -15,68 +15,70 @@
     Safety, ScoringMix, Stats,
 };
 
-/// Most balancers, and most upstreams, of one process.
+/// Maximum number of balancers, and of upstreams, in one process.
 const MAX_PER_PROCESS: usize = 100_000;
 
-/// `hollow --config FILE`: how many of which, and where the list is.
+/// The configuration file of `hollow --config FILE`.
 #[derive(Debug, Deserialize)]
 pub struct HollowConfig {
-    /// Where operators call, `host:port`; port 0 takes a free one, told as `listening on ADDRESS`.
+    /// Address of the management API, `host:port`. Port 0 selects a free port, which is reported as `listening on
+    /// ADDRESS`.
     pub management: SocketAddr,
-    /// Everything that is drawn at random comes from it and the number of who draws.
+    /// Seed of all random values, combined with the number of the balancer or upstream.
     #[serde(default)]
     pub seed: u64,
-    /// Hollow balancers in this process.
+    /// Number of simulated balancers in this process.
     #[serde(default)]
     pub balancers: usize,
-    /// Hollow upstreams in this process.
+    /// Number of simulated upstreams in this process.
     #[serde(default)]
     pub upstreams: usize,
-    /// The number of the first balancer and of the first upstream; processes of one fleet each have their own range.
+    /// Number of the first balancer and of the first upstream. Processes of one fleet need ranges that do not overlap.
     #[serde(default)]
     pub first: usize,
-    /// Balancers in the whole bank, as the modules are told; as many as here where left out.
+    /// Number of balancers in the fleet, as passed to the policies; defaults to those of this process.
     pub bank: Option<u32>,
-    /// The list service.
+    /// Addresses of the list service.
     pub lists: Lists,
-    /// Zones that balancers and upstreams are spread over by number.
+    /// Zones; balancers and upstreams are distributed over them by their number.
     #[serde(default = "one_zone")]
     pub zones: Vec<String>,
-    /// Services that the upstreams are spread over by number and that the balancers serve: names, or how many. Of one
-    /// that is not named, and of one whose name is empty, the balancers take every upstream, whatever service it names.
+    /// Services that the balancers serve, as names or as a count; upstreams are distributed over them by their number.
+    /// With a count of 1, or a single empty name, the balancers accept every upstream, whatever its service.
     #[serde(default)]
     pub services: Services,
-    /// TTL of the upstreams' registration, in milliseconds; renewed at a third of it.
+    /// TTL of the registration of upstreams, in milliseconds. They renew after a third of it.
     #[serde(default = "ttl_ms")]
     pub ttl_ms: u64,
-    /// Upstreams start at random moments within this many milliseconds; a third of the TTL where left out, so that
-    /// renewals are spread over time.
+    /// Upstreams start after a random delay below this many milliseconds; defaults to a third of the TTL, which
+    /// spreads the renewals over time.
     pub spread_ms: Option<u64>,
-    /// Where each balancer keeps its last list, in a folder of its own; without it nothing is kept.
+    /// Directory in which each balancer persists its last list, in a subdirectory of its own; nothing is persisted if
+    /// omitted.
     pub state_dir: Option<PathBuf>,
-    /// The configuration file of a proxy, whose `settings` each service is given; without it one class with an aim of
-    /// 2 s and a deadline of 6 s.
+    /// Configuration file of a proxy, whose `settings` apply to each service. If omitted, there is one class with an
+    /// aim of 2 s and a deadline of 6 s.
     pub proxy: Option<PathBuf>,
 }
 
-/// The instances of the list service.
+/// Addresses of the instances of the list service.
 #[derive(Debug, Deserialize)]
 pub struct Lists {
-    /// Where the list is read and watched: each balancer begins with another of them, by its number.
+    /// Addresses to read and watch the list at. The number of a balancer selects the address it starts with.
     #[serde(default)]
     pub listen: Vec<SocketAddr>,
-    /// Where upstreams register.
+    /// Addresses at which upstreams register.
     #[serde(default)]
     pub management: Vec<SocketAddr>,
 }
 
-/// Services by name, or `service-0` to as many as there are.
+/// Services by name, or a count of services named `service-0`, `service-1` and so on.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 pub enum Services {
-    /// How many.
+    /// The number of services.
     Count(usize),
-    /// Their names.
+    /// The names of the services.
     Names(Vec<String>),
 }
 
@@ -87,7 +89,7 @@
 }
 
 impl Services {
-    /// How many there are.
+    /// Number of services.
     pub fn count(&self) -> usize {
         match self {
             Self::Count(n) => *n,
@@ -95,7 +97,7 @@
         }
     }
 
-    /// The name of the service with this number, counted round.
+    /// Name of the service with this number, modulo the number of services.
     pub fn name(&self, number: usize) -> String {
         match self {
             Self::Count(n) => format!("service-{}", number % (*n).max(1)),
@@ -113,7 +115,7 @@
     10_000
 }
 
-/// The part of a proxy's configuration file that is read here.
+/// The part of a proxy's configuration file that is used here.
 #[derive(Deserialize)]
 struct Proxy {
     settings: Facts,
@@ -123,9 +125,9 @@
     /// Reads and checks the file.
     ///
     /// # Errors
-    /// What [`configuration::load`] refuses, and [`ConfigError::Invalid`] for a process of nobody or of more than
-    /// 100,000, one without a list service to talk to, no zones or services, services that no balancer can serve side
-    /// by side, and a TTL out of its range.
+    /// The errors of [`configuration::load`], and [`ConfigError::Invalid`] if there are neither balancers nor upstreams
+    /// or more than 100,000 of either, if an address of the list service, the zones or the services are missing, if the
+    /// services conflict with each other, or if the TTL is out of range.
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
         let config: Self = configuration::load(path)?;
         if let Some((key, cause)) = config.first_invalid() {
@@ -141,24 +143,24 @@
 
     fn first_invalid(&self) -> Option<(&'static str, &'static str)> {
         if self.balancers + self.upstreams == 0 {
-            return Some(("balancers", "neither balancers nor upstreams"));
+            return Some(("balancers", "neither balancers nor upstreams are configured"));
         }
         for (key, count) in [("balancers", self.balancers), ("upstreams", self.upstreams)] {
             if count > MAX_PER_PROCESS {
-                return Some((key, "100000 at most"));
+                return Some((key, "must be at most 100000"));
             }
         }
         if self.balancers > 0 && self.lists.listen.is_empty() {
-            return Some(("lists.listen", "balancers have to read the list somewhere"));
+            return Some(("lists.listen", "required if there are balancers"));
         }
         if self.upstreams > 0 && self.lists.management.is_empty() {
-            return Some(("lists.management", "upstreams have to register somewhere"));
+            return Some(("lists.management", "required if there are upstreams"));
         }
         if self.zones.is_empty() {
-            return Some(("zones", "at least one"));
+            return Some(("zones", "at least one zone is required"));
         }
         if self.services.count() == 0 {
-            return Some(("services", "at least one"));
+            return Some(("services", "at least one service is required"));
         }
         let upstream_of = |number| HollowUpstream {
             number,
@@ -170,25 +172,25 @@
             return Some(("services", cause));
         }
         if !TTL_MS.contains(&self.ttl_ms) {
-            return Some(("ttl_ms", "50 to 3600000"));
+            return Some(("ttl_ms", "must be between 50 and 3600000"));
         }
         None
     }
 
-    /// TTL of the upstreams.
+    /// TTL of the registration of upstreams.
     pub fn ttl(&self) -> Duration {
         Duration::from_millis(self.ttl_ms)
     }
 
-    /// The time that starts of upstreams are spread over.
+    /// Upper limit of the random delay before an upstream starts.
     pub fn start_spread(&self) -> Duration {
         Duration::from_millis(self.spread_ms.unwrap_or(self.ttl_ms / 3))
     }
 
-    /// What each service of each balancer is told, but for the balancer's own number and zone.
+    /// The settings of each service of each balancer, except for the balancer's own number and zone.
     ///
     /// # Errors
-    /// [`ConfigError`] where `proxy` can't be read, or has no settings that a balancer takes.
+    /// [`ConfigError`] if the file `proxy` can't be read or its settings are invalid.
     pub fn facts(&self) -> Result<Facts, ConfigError> {
         let mut facts = match &self.proxy {
             None => default_facts(),
@@ -213,10 +215,10 @@
         }
     }
 
-    /// The services of the balancer of this number.
+    /// The services of the balancer with this number.
     ///
     /// # Errors
-    /// [`CatalogError`].
+    /// [`CatalogError`] if the services conflict or their settings are invalid.
     pub fn catalog(&self, facts: &Facts, number: usize) -> Result<Catalog, CatalogError> {
         let mut facts = facts.clone();
         facts.position = number as u32;
@@ -228,7 +230,7 @@
         if single {
             return Catalog::single(&facts);
         }
-        // Where there are services, each states its own tenants.
+        // With several services, tenants are set per service.
         let tenants = std::mem::take(&mut facts.tenants);
         let entry = |i| ServiceEntry {
             name: self.services.name(i),
@@ -239,7 +241,7 @@
     }
 }
 
-/// What a balancer is told where nothing is stated: one class with an aim of 2 s and a deadline of 6 s.
+/// The settings without a proxy configuration: one class with an aim of 2 s and a deadline of 6 s.
 fn default_facts() -> Facts {
     let class = Class {
         name: String::new(),
--- a/src/hollow/config/tests.rs
+++ b/src/hollow/config/tests.rs
@@ -41,7 +41,10 @@
     let class = Class::safe(Span(2_000_000), Span(6_000_000));
     let basic = Settings { balancers: 2, ..Settings::basic(vec![class]) };
     assert_eq!(format!("{:?}", facts.settings()), format!("{basic:?}"));
-    assert!(config.catalog(&facts, 0).expect("sound").is_single(), "it takes every upstream");
+    assert!(
+        config.catalog(&facts, 0).expect("sound").is_single(),
+        "a single service accepts every upstream"
+    );
 }
 
 #[test]
--- a/src/hollow/figures.rs
+++ b/src/hollow/figures.rs
@@ -1,4 +1,4 @@
-//! What is counted of each hollow balancer, and the bounded sum of it that operators read.
+//! Metrics of each simulated balancer, and a summary whose size does not depend on the number of balancers.
 
 use std::cell::Cell;
 
@@ -7,51 +7,51 @@
 
 use crate::figures::MetricsText;
 
-/// Counted where it happens; lives as long as the process, however often the balancer ends and returns.
+/// Metrics of one balancer. They last as long as the process and are not reset when the balancer stops or restarts.
 #[derive(Debug, Default)]
 pub struct BalancerFigures {
-    /// Whether it runs.
+    /// Whether the balancer is running.
     pub running: Cell<bool>,
-    /// Revision of the list held.
+    /// Revision of the current list.
     pub revision: Cell<u64>,
-    /// Lists taken that were older than the one held; must stay 0.
+    /// List messages whose revision was lower than the current one; must stay 0.
     pub went_back: Cell<u64>,
-    /// Messages taken.
+    /// List messages received.
     pub messages: Cell<u64>,
-    /// Of them, whole lists.
+    /// Messages with a full list.
     pub whole_lists: Cell<u64>,
-    /// Entries in them.
+    /// Entries in all messages.
     pub entries: Cell<u64>,
-    /// Bytes read from list services, heads and heartbeats too.
+    /// Bytes read from list services, including response heads and heartbeats.
     pub bytes: Cell<u64>,
-    /// Services that were told of a list or a change, once for each.
+    /// Notifications of services: each message counts once for each service that it concerns.
     pub services_told: Cell<u64>,
-    /// Processor time spent in the services and their modules, in nanoseconds.
+    /// CPU time spent in the services and their policies, in nanoseconds.
     pub module_ns: Cell<u64>,
-    /// Times that they were told something.
+    /// Number of measured calls of the services.
     pub module_calls: Cell<u64>,
-    /// Longest processor time of one of them, in nanoseconds.
+    /// Longest CPU time of one call, in nanoseconds.
     pub module_longest_ns: Cell<u64>,
-    /// Members of the list held.
+    /// Members in the current list.
     pub members: Cell<u64>,
-    /// The digest of the list held.
+    /// Digest of the current list.
     pub digest: Cell<u64>,
 }
 
-/// Adds to a count.
+/// Adds `n` to a counter.
 pub fn add(to: &Cell<u64>, n: u64) {
     to.set(to.get() + n);
 }
 
 impl BalancerFigures {
-    /// The module was told something, which took so long.
+    /// Records a call of the services and its CPU time.
     pub fn record_policy_call(&self, ns: u64) {
         add(&self.module_ns, ns);
         add(&self.module_calls, 1);
         self.module_longest_ns.set(self.module_longest_ns.get().max(ns));
     }
 
-    /// A list of this revision is taken.
+    /// Records a list message; `whole` is whether it is a full list.
     pub fn record_message(&self, revision: u64, entries: usize, whole: bool) {
         add(&self.went_back, u64::from(revision < self.revision.get()));
         add(&self.messages, 1);
@@ -60,7 +60,7 @@
         self.revision.set(revision);
     }
 
-    /// As operators read it.
+    /// The metrics as JSON, for the management API.
     pub fn to_json(&self, id: &str, zone: &str) -> Value {
         json!({
             "id": id, "zone": zone, "running": self.running.get(),
@@ -75,17 +75,17 @@
     }
 }
 
-/// One figure over all balancers.
+/// Mean and largest value of one metric over all balancers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct MeanAndLargest {
-    /// Sum over all, rounded down to the mean.
+    /// The mean, rounded down.
     pub mean: u64,
-    /// The largest.
+    /// The largest value.
     pub largest: u64,
 }
 
 impl MeanAndLargest {
-    /// Over these values.
+    /// Computes both over `values`; 0 if there are none.
     pub fn over(values: impl Iterator<Item = u64>) -> Self {
         let (mut sum, mut count, mut largest) = (0, 0, 0);
         for value in values {
@@ -95,33 +95,33 @@
     }
 }
 
-/// The balancers of one process, summed up.
+/// Summary of the balancers of one process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Balancers {
-    /// How many run.
+    /// Number of running balancers.
     pub running: u64,
-    /// Lowest revision held by one that runs; 0 without any.
+    /// Lowest list revision of the running balancers; 0 if none is running.
     pub lowest_revision: u64,
-    /// Highest.
+    /// Highest list revision of the running balancers; 0 if none is running.
     pub highest_revision: u64,
-    /// Lists taken that were older than the one held.
+    /// List messages whose revision was lower than the current one, over all balancers.
     pub went_back: u64,
-    /// Messages taken.
+    /// List messages received.
     pub messages: MeanAndLargest,
-    /// Whole lists among them.
+    /// Messages with a full list.
     pub whole_lists: MeanAndLargest,
-    /// Entries in them.
+    /// Entries in all messages.
     pub entries: MeanAndLargest,
-    /// Bytes read.
+    /// Bytes read from list services.
     pub bytes: MeanAndLargest,
-    /// Services that were told of a list or a change.
+    /// Notifications of services.
     pub services_told: MeanAndLargest,
-    /// Microseconds of processor time in the module.
+    /// CPU time spent in the services and their policies, in microseconds.
     pub module_us: MeanAndLargest,
 }
 
 impl Balancers {
-    /// Over these balancers.
+    /// Summarizes these balancers, including stopped ones except in `running` and the revisions.
     pub fn over<'a>(all: impl Iterator<Item = &'a BalancerFigures> + Clone) -> Self {
         let running = all.clone().filter(|b| b.running.get());
         let revisions = running.clone().map(|b| b.revision.get());
@@ -140,7 +140,7 @@
         }
     }
 
-    /// For a scrape.
+    /// Writes the summary as Prometheus metrics.
     pub fn write(&self, text: &mut MetricsText) {
         text.gauge("hollow_balancers", "Balancers that run", &[], self.running);
         let help = "Revision of the list held, lowest and highest over the balancers";
--- a/src/hollow/figures/tests.rs
+++ b/src/hollow/figures/tests.rs
@@ -17,7 +17,7 @@
     for (i, figures) in all.iter().enumerate() {
         figures.record_message(10 + i as u64, 1, false);
         figures.bytes.set(100 * (i as u64 + 1));
-        // The one that is ahead does not run.
+        // The balancer with the highest revision is not running.
         figures.running.set(i < 2);
     }
     let sums = Balancers::over(all.iter());
--- a/src/hollow/mod.rs
+++ b/src/hollow/mod.rs
@@ -1,13 +1,13 @@
-//! Hollow balancers and hollow upstreams: what a fleet costs in control work, many to a process, for rehearsals of a
-//! size that one machine can't hold in real processes.
+//! Simulated balancers and upstreams, many per process, to measure the control-plane cost of fleets that are too large
+//! to run as real processes on one machine.
 //!
-//! A hollow balancer ([`balancer`]) is the real client of the list ([`crate::discovery::client`]), the real kept list
-//! ([`crate::discovery::list_cache`]) and the real services ([`crate::services`], a module each) with their timers, without
-//! clients and without connections to upstreams. A hollow upstream ([`upstream`]) registers and renews through
-//! [`crate::discovery::registration`], and listens nowhere: its address is made up from its number.
+//! A simulated balancer ([`balancer`]) consists of the same list client ([`crate::discovery::client`]), persisted list
+//! ([`crate::discovery::list_cache`]) and services with their policies and timers ([`crate::services`]) as a proxy, but
+//! has no clients and no connections to upstreams. A simulated upstream ([`upstream`]) registers and renews through
+//! [`crate::discovery::registration`], but does not listen: its address is derived from its number.
 //!
-//! [`driver`] does the I/O and answers operators; [`tally`] counts what registration logs; [`figures`] sums up.
-//! Faults come from outside: calls at the management address, and signals.
+//! [`driver`] does the I/O and serves the management API; [`tally`] counts the log events of registration; [`figures`]
+//! holds the metrics. Faults are injected from outside, by calls of the management API and by signals.
 
 pub mod balancer;
 pub mod config;
--- a/src/hollow/tally.rs
+++ b/src/hollow/tally.rs
@@ -1,5 +1,5 @@
-//! Counts what [`crate::discovery::registration`] logs: it has no other word of its successes and failures, and as many
-//! lines as a process of hollow upstreams would write serve nobody.
+//! Counts the log events of [`crate::discovery::registration`], which reports its successes and failures in no other
+//! way, and limits how many of them are written: thousands of simulated upstreams would flood the log.
 
 use std::collections::HashSet;
 use std::fmt::Debug;
@@ -12,19 +12,19 @@
 use tracing::subscriber::Interest;
 use tracing::{Dispatch, Event, Level, Metadata, Subscriber};
 
-/// Where registration logs from.
+/// Log target of the registration module.
 const TARGET: &str = "hollowpaddle::discovery::registration";
 
-/// What came of the calls of the upstreams.
+/// Results of the registration calls of all upstreams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Upstreams that know themselves to be in the list.
+    /// Upstreams that are registered now.
     pub registered: u64,
-    /// Registrations that succeeded, again after the list had lost them too.
+    /// Successful registrations, including repeated ones after the list service had lost the member.
     pub registrations: u64,
-    /// Registrations that failed, and were made again.
+    /// Failed registrations; each is retried.
     pub failed_registrations: u64,
-    /// Calls of registered ones that failed: renewals, and leaves.
+    /// Failed calls of registered upstreams: renewals and leaves.
     pub failed_renewals: u64,
 }
 
@@ -34,14 +34,15 @@
     counts: Counts,
 }
 
-/// A subscriber of the upstreams' tasks that counts, and hands a bounded part on to the one of the process.
+/// A tracing subscriber for the tasks of the upstreams: counts registration events and forwards a bounded part of them
+/// to the subscriber of the process.
 #[derive(Debug)]
 pub struct Tally {
     inner: Dispatch,
     state: Mutex<State>,
 }
 
-/// The `id` of an event.
+/// Reads the field `id` of an event.
 #[derive(Default)]
 struct IdVisitor(Option<String>);
 
@@ -55,29 +56,29 @@
 }
 
 impl Tally {
-    /// Hands on to the subscriber that is in force here.
+    /// Creates a subscriber that forwards to the current default subscriber.
     pub fn new() -> Self {
         let inner = tracing::dispatcher::get_default(Dispatch::clone);
         Self { inner, state: Mutex::default() }
     }
 
     fn state(&self) -> std::sync::MutexGuard<'_, State> {
-        // Nothing panics while it is held.
+        // No code panics while holding the lock, so it is never poisoned.
         self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// What has been counted.
+    /// The current counts.
     pub fn counts(&self) -> Counts {
         let state = self.state();
         Counts { registered: state.registered.len() as u64, ..state.counts }
     }
 
-    /// This one does not renew any more.
+    /// Removes an upstream that no longer renews from the registered ones.
     pub fn remove_registered(&self, id: &str) {
         self.state().registered.remove(id);
     }
 
-    /// Counts one line; whether it is worth writing: the first, second, fourth and so on of its kind.
+    /// Counts one event. Returns whether to write it: the first, second, fourth, eighth and so on of each kind.
     fn count(&self, level: Level, id: String) -> bool {
         let mut state = self.state();
         let already_registered = state.registered.contains(&id);
--- a/src/hollow/tally/tests.rs
+++ b/src/hollow/tally/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// What registration says, word for word.
+/// Logs an event exactly as the registration module does.
 fn log_as_registration(level: Level, id: &str) {
     match level {
         Level::INFO => tracing::info!(target: TARGET, id, "registered"),
@@ -19,9 +19,9 @@
         log_as_registration(Level::INFO, "b");
         log_as_registration(Level::WARN, "a");
         log_as_registration(Level::WARN, "a");
-        // Lost by the list, and back.
+        // Registered again after the list service had lost the member.
         log_as_registration(Level::INFO, "a");
-        tracing::info!(id = "c", "of another part of the program");
+        tracing::info!(id = "c", "event of another module");
     });
     let counts = tally.counts();
     assert_eq!((counts.registered, counts.registrations), (2, 3));
--- a/src/hollow/upstream.rs
+++ b/src/hollow/upstream.rs
@@ -1,43 +1,44 @@
-//! Who the hollow upstreams are, and whom a call means. Pure.
+//! Identities of the simulated upstreams, and the selection of the targets of a command. Does no I/O.
 
 use serde::Deserialize;
 
 use super::config::HollowConfig;
 use crate::discovery::member::{Member, Phase};
 
-/// Upstreams to a cell.
 const UPSTREAMS_PER_CELL: usize = 8;
 
-/// One hollow upstream as it is before it ever registered.
+/// The fixed properties of one simulated upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HollowUpstream {
-    /// Its number in the fleet.
+    /// Number in the fleet; id, address, zone and service are derived from it.
     pub number: usize,
-    /// Its zone.
+    /// Name of its zone.
     pub zone: String,
-    /// Its service.
+    /// Name of its service.
     pub service: String,
 }
 
 impl HollowUpstream {
-    /// Those of this process.
+    /// The upstreams of this process.
     pub fn all(config: &HollowConfig) -> Vec<Self> {
         (config.first..config.first + config.upstreams)
             .map(|number| Self {
                 number,
                 zone: config.zones[number % config.zones.len()].clone(),
-                // All services have upstreams in all zones, where there are enough.
+                // Divided by the number of zones, so that every service has upstreams in every zone if there are
+                // enough upstreams.
                 service: config.services.name(number / config.zones.len()),
             })
             .collect()
     }
 
-    /// Its id in the list.
+    /// The id under which it registers.
     pub fn id(&self) -> String {
         format!("u-{:05}", self.number)
     }
 
-    /// Its entry after a start at this Unix time, in milliseconds. Nobody listens at its address.
+    /// The entry to register if the upstream started at this Unix time, in milliseconds. Nothing listens at its
+    /// address.
     pub fn member(&self, up_since_ms: u64) -> Member {
         let n = self.number;
         Member {
@@ -54,50 +55,50 @@
     }
 }
 
-/// What is to become of upstreams.
+/// Faults and state changes of upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum UpstreamFault {
-    /// They fall silent: nothing is renewed any more.
+    /// Crash: stop renewing without leaving the list.
     Die,
-    /// They say that they drain, and go on renewing.
+    /// Set the phase to draining and continue to renew.
     Drain,
-    /// They leave the list.
+    /// Stop renewing and leave the list.
     Leave,
-    /// They start anew.
+    /// Start again.
     Return,
 }
 
-/// What is to become of balancers.
+/// Faults and state changes of balancers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum BalancerFault {
-    /// They end, with all connections.
+    /// Stop and close all connections.
     Drop,
-    /// They start anew, with the list that they kept, if they keep one.
+    /// Start again, with the persisted list if there is one.
     Return,
 }
 
-/// Whom a call means: all that fit everything it names, the first `count` of them.
+/// A command of an operator. It applies to the first `count` upstreams or balancers that match all fields given.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Order<Fault> {
-    /// What is to be done.
+    /// The fault to inject.
     #[serde(rename = "do")]
     pub fault: Fault,
-    /// In this zone only.
+    /// Only in this zone.
     pub zone: Option<String>,
-    /// Of this service only (upstreams).
+    /// Only of this service; for upstreams.
     pub service: Option<String>,
-    /// So many at most.
+    /// Maximum number of targets; no limit if omitted.
     pub count: Option<usize>,
-    /// Spread over this many milliseconds, at random; at once where left out.
+    /// Each target is changed after a random delay below this many milliseconds; at once if omitted.
     #[serde(default)]
     pub spread_ms: u64,
 }
 
 impl<Fault> Order<Fault> {
-    /// The indices of those that are meant, of a zone and a service each.
+    /// Returns the indices of the targets in `all`, which yields the zone and the service of each candidate.
     pub fn select_indices<'a>(&self, all: impl Iterator<Item = (&'a str, &'a str)>) -> Vec<usize> {
         let matches =
             |wanted: &Option<String>, has: &str| wanted.as_deref().is_none_or(|w| w == has);
--- a/src/stand_in/mod.rs
+++ b/src/stand_in/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in upstream: answers every request with 200 and its own name. For trials on one machine and for
-//! the tests that start several processes; it is no part of the balancer's path.
+//! A stand-in upstream that answers every request with 200 and its own name. For trials on one machine and for tests
+//! with several processes; the balancer does not use it.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -19,18 +19,19 @@
 use crate::calls::{self, LIMIT};
 use crate::socket::Socket;
 
-/// How it answers.
+/// How a stand-in upstream answers.
 #[derive(Clone, Debug)]
 pub struct StandInOptions {
-    /// What it answers with, and a newline.
+    /// The name; the response body is the name and a newline.
     pub name: String,
-    /// How long each answer takes.
+    /// Delay before each response.
     pub delay: Duration,
-    /// One answer in so many is a 500; 0 for none.
+    /// Every n-th response is a 500; 0 for none.
     pub error_every: u64,
 }
 
-/// Serves until the task is dropped: every request, whatever its path, is answered so; a body over 64 KiB gets 413.
+/// Answers requests to all paths as `options` say, until the future is dropped. A body over 64 KiB is answered with
+/// 413.
 pub async fn serve(listener: TcpListener, options: StandInOptions) {
     let (name, count) = (Bytes::from(format!("{}\n", options.name)), Cell::new(0_u64));
     let state = Rc::new((options, name, count));
--- a/src/tasks/mod.rs
+++ b/src/tasks/mod.rs
@@ -1,13 +1,13 @@
-//! Tasks that end with their owner, and a turn for all others.
+//! Helpers for tasks on a single-threaded runtime: abort on drop, and yielding to other tasks.
 
 use tokio::task::{JoinHandle, yield_now};
 
-/// Turns that [`yield_until`] gives: what comes on a socket passes through a handful of tasks, and a long message comes in
-/// several pieces.
+/// Maximum number of yields of [`yield_until`]: data from a socket passes through several tasks before it is processed,
+/// and a long message arrives in several pieces.
 const MAX_YIELDS: usize = 16;
 
-/// Gives all tasks of this thread some turns. For a process that stood still (a timer that fires late tells of it): what
-/// has come for it meanwhile is read before it goes on. Ends early once there is `enough`.
+/// Yields to the other tasks of this thread several times, until `enough` returns true. Called after a stall of the
+/// process, which a late timer reveals, so that data that arrived during the stall is read first.
 pub async fn yield_until(enough: impl Fn() -> bool) {
     for _ in 0..MAX_YIELDS {
         yield_now().await;
@@ -17,7 +17,7 @@
     }
 }
 
-/// A task that ends with its owner, and closes what it holds.
+/// A task that is aborted when this handle is dropped; its resources are released then.
 #[derive(Debug)]
 pub struct AbortOnDrop(pub JoinHandle<()>);
 
