--- a/src/hollow/balancer.rs
+++ b/src/hollow/balancer.rs
@@ -30,8 +30,8 @@
 /// The member list of one balancer.
 #[derive(Debug, Default)]
 struct HeldList {
-    ids: FxHashMap<String, usize>,
-    /// Hash of each entry by its index in `ids`; `None` if the entry is not in the list now.
+    indices: FxHashMap<String, usize>,
+    /// Hash of each entry by its index in `indices`; `None` if the entry is not in the list now.
     hashes: Vec<Option<u64>>,
     members: usize,
     digest: u64,
@@ -39,17 +39,17 @@
 
 impl HeldList {
     fn index_of(&mut self, name: &str) -> usize {
-        if let Some(id) = self.ids.get(name) {
-            return *id;
+        if let Some(index) = self.indices.get(name) {
+            return *index;
         }
-        let id = self.hashes.len();
-        self.ids.insert(name.to_owned(), id);
+        let index = self.hashes.len();
+        self.indices.insert(name.to_owned(), index);
         self.hashes.push(None);
-        id
+        index
     }
 
-    fn set(&mut self, id: usize, hash: Option<u64>) {
-        let old = std::mem::replace(&mut self.hashes[id], hash);
+    fn set(&mut self, index: usize, hash: Option<u64>) {
+        let old = std::mem::replace(&mut self.hashes[index], hash);
         self.members = self.members + usize::from(hash.is_some()) - usize::from(old.is_some());
         self.digest = self.digest.wrapping_add(hash.unwrap_or(0)).wrapping_sub(old.unwrap_or(0));
     }
@@ -57,14 +57,14 @@
     fn apply_message(&mut self, list: &Message) {
         if list.complete {
             let named: FxHashSet<&str> = list.members.iter().map(|m| m.id.as_str()).collect();
-            let left_out = self.ids.iter().filter(|(name, _)| !named.contains(name.as_str()));
-            for id in left_out.map(|(_, id)| *id).collect::<Vec<_>>() {
-                self.set(id, None);
+            let missing = self.indices.iter().filter(|(name, _)| !named.contains(name.as_str()));
+            for index in missing.map(|(_, index)| *index).collect::<Vec<_>>() {
+                self.set(index, None);
             }
         }
         for entry in &list.members {
-            let id = self.index_of(&entry.id);
-            self.set(id, (entry.phase != Phase::Deleted).then(|| entry_hash(entry)));
+            let index = self.index_of(&entry.id);
+            self.set(index, (entry.phase != Phase::Deleted).then(|| entry_hash(entry)));
         }
     }
 }
--- a/src/hollow/config/tests.rs
+++ b/src/hollow/config/tests.rs
@@ -16,7 +16,7 @@
     loaded
 }
 
-const GOOD: &str = "management = \"127.0.0.1:0\"\nbalancers = 2\nupstreams = 4\n";
+const BASE: &str = "management = \"127.0.0.1:0\"\nbalancers = 2\nupstreams = 4\n";
 const LISTS: &str = "[lists]\nlisten = [\"127.0.0.1:1\"]\nmanagement = [\"127.0.0.1:2\"]\n";
 
 #[test]
@@ -34,7 +34,7 @@
 
 #[test]
 fn omitted_settings_have_defaults() {
-    let config = parse(&format!("{GOOD}{LISTS}")).expect("sound");
+    let config = parse(&format!("{BASE}{LISTS}")).expect("sound");
     assert_eq!((config.first, config.ttl_ms, config.zones.len()), (0, 10_000, 1));
     assert_eq!(config.start_spread(), Duration::from_millis(3333));
     let facts = config.facts().expect("sound");
@@ -50,7 +50,7 @@
 #[test]
 fn each_named_service_gets_the_tenants_of_the_settings() {
     let named = |names: &str| {
-        let config = parse(&format!("{GOOD}services = {names}\n{LISTS}")).expect("sound");
+        let config = parse(&format!("{BASE}services = {names}\n{LISTS}")).expect("sound");
         let mut facts = config.facts().expect("sound");
         facts.tenants = vec![Tenant { name: "t".into(), quota_rps: 1.0, share: 1.0 }];
         config.catalog(&facts, 1).expect("sound")
@@ -65,21 +65,21 @@
 #[test]
 fn errors_name_the_key_of_the_invalid_value() {
     let bad = [
-        (format!("{GOOD}beat = 1\n{LISTS}"), "`beat`"),
-        (format!("{GOOD}{LISTS}stream = 1\n"), "`lists.stream`"),
-        (GOOD.to_owned(), "`.`"),
+        (format!("{BASE}beat = 1\n{LISTS}"), "`beat`"),
+        (format!("{BASE}{LISTS}stream = 1\n"), "`lists.stream`"),
+        (BASE.to_owned(), "`.`"),
         (format!("management = \"127.0.0.1:0\"\n{LISTS}"), "`balancers`"),
         (format!("management = \"here\"\nbalancers = 1\n{LISTS}"), "`management`"),
-        (format!("{GOOD}ttl_ms = 10\n{LISTS}"), "`ttl_ms`"),
-        (format!("{GOOD}zones = []\n{LISTS}"), "`zones`"),
-        (format!("{GOOD}services = 0\n{LISTS}"), "`services`"),
-        (format!("{GOOD}services = -1\n{LISTS}"), "`services`"),
-        (format!("{GOOD}services = []\n{LISTS}"), "`services`"),
-        (format!("{GOOD}services = [\"shop\", \"a,b\"]\n{LISTS}"), "`services`"),
-        (format!("{GOOD}services = [\"shop\", \"shop\"]\n{LISTS}"), "`services`"),
-        (format!("{GOOD}services = [\"shop\", \"\"]\n{LISTS}"), "`services`"),
-        (format!("{GOOD}[lists]\nlisten = [\"127.0.0.1:1\"]\n"), "`lists.management`"),
-        (format!("{GOOD}[lists]\nmanagement = [\"127.0.0.1:1\"]\n"), "`lists.listen`"),
+        (format!("{BASE}ttl_ms = 10\n{LISTS}"), "`ttl_ms`"),
+        (format!("{BASE}zones = []\n{LISTS}"), "`zones`"),
+        (format!("{BASE}services = 0\n{LISTS}"), "`services`"),
+        (format!("{BASE}services = -1\n{LISTS}"), "`services`"),
+        (format!("{BASE}services = []\n{LISTS}"), "`services`"),
+        (format!("{BASE}services = [\"shop\", \"a,b\"]\n{LISTS}"), "`services`"),
+        (format!("{BASE}services = [\"shop\", \"shop\"]\n{LISTS}"), "`services`"),
+        (format!("{BASE}services = [\"shop\", \"\"]\n{LISTS}"), "`services`"),
+        (format!("{BASE}[lists]\nlisten = [\"127.0.0.1:1\"]\n"), "`lists.management`"),
+        (format!("{BASE}[lists]\nmanagement = [\"127.0.0.1:1\"]\n"), "`lists.listen`"),
         (format!("management = \"127.0.0.1:0\"\nbalancers = 100001\n{LISTS}"), "`balancers`"),
         (format!("management = \"127.0.0.1:0\"\nupstreams = 100001\n{LISTS}"), "`upstreams`"),
     ];
@@ -92,11 +92,11 @@
 #[test]
 fn settings_are_read_from_a_proxy_configuration_file() {
     let proxy = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/proxy.json");
-    let config = parse(&format!("{GOOD}proxy = \"{proxy}\"\n{LISTS}")).expect("sound");
+    let config = parse(&format!("{BASE}proxy = \"{proxy}\"\n{LISTS}")).expect("sound");
     assert_eq!(config.facts().expect("sound").settings().classes.len(), 3);
-    let config = parse(&format!("{GOOD}proxy = \"/nowhere\"\n{LISTS}")).expect("read later");
+    let config = parse(&format!("{BASE}proxy = \"/nowhere\"\n{LISTS}")).expect("read later");
     assert!(matches!(config.facts(), Err(ConfigError::Unreadable { .. })));
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/hollow.toml");
-    let config = parse(&format!("{GOOD}proxy = \"{file}\"\n{LISTS}")).expect("read later");
+    let config = parse(&format!("{BASE}proxy = \"{file}\"\n{LISTS}")).expect("read later");
     assert!(matches!(config.facts(), Err(ConfigError::Malformed { .. })));
 }
--- a/src/hollow/figures.rs
+++ b/src/hollow/figures.rs
@@ -51,11 +51,11 @@
         self.module_longest_ns.set(self.module_longest_ns.get().max(ns));
     }
 
-    /// Records a list message; `whole` is whether it is a full list.
-    pub fn record_message(&self, revision: u64, entries: usize, whole: bool) {
+    /// Records a list message; `is_full` is whether it contains the full list.
+    pub fn record_message(&self, revision: u64, entries: usize, is_full: bool) {
         add(&self.went_back, u64::from(revision < self.revision.get()));
         add(&self.messages, 1);
-        add(&self.whole_lists, u64::from(whole));
+        add(&self.whole_lists, u64::from(is_full));
         add(&self.entries, entries as u64);
         self.revision.set(revision);
     }
--- a/src/hollow/figures/tests.rs
+++ b/src/hollow/figures/tests.rs
@@ -20,9 +20,9 @@
         // The balancer with the highest revision is not running.
         figures.running.set(i < 2);
     }
-    let sums = Balancers::over(all.iter());
-    assert_eq!((sums.running, sums.lowest_revision, sums.highest_revision), (2, 10, 11));
-    assert_eq!(sums.bytes, MeanAndLargest { mean: 200, largest: 300 });
+    let summary = Balancers::over(all.iter());
+    assert_eq!((summary.running, summary.lowest_revision, summary.highest_revision), (2, 10, 11));
+    assert_eq!(summary.bytes, MeanAndLargest { mean: 200, largest: 300 });
     assert_eq!(Balancers::over([].iter()), Balancers::default());
 }
 
