--- a/src/figures/mod.rs
+++ b/src/figures/mod.rs
@@ -1,5 +1,5 @@
-//! What operators are told of the service, counted where it happens and never taken back. Counted and written in
-//! Prometheus's text format by the `prometheus-client` crate.
+//! Metrics of the proxy. Counters are incremented where the event happens and never decremented. The
+//! `prometheus-client` crate holds them and encodes them in Prometheus's text format.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -22,60 +22,59 @@
 use crate::interface::Outcome;
 use crate::invariants::violations::Violations;
 
-/// The content type of Prometheus's text format.
-const TEXT: &str = "text/plain; version=0.0.4; charset=utf-8";
+const PROMETHEUS_CONTENT_TYPE: &str = "text/plain; version=0.0.4; charset=utf-8";
 
 type Labels = Vec<(String, String)>;
-type Whole = Gauge<u64, AtomicU64>;
+type UnsignedGauge = Gauge<u64, AtomicU64>;
 
-fn labels(from: &[(&str, &str)]) -> Labels {
-    from.iter().map(|(name, value)| ((*name).to_owned(), (*value).to_owned())).collect()
+fn labels(pairs: &[(&str, &str)]) -> Labels {
+    pairs.iter().map(|(name, value)| ((*name).to_owned(), (*value).to_owned())).collect()
 }
 
-/// Figures read off for one scrape, for what is counted elsewhere.
+/// Metrics of a single scrape, built from values that are counted elsewhere.
 #[derive(Default)]
-pub struct Text {
+pub struct MetricsText {
     registry: Registry,
-    gauges: HashMap<&'static str, Family<Labels, Whole>>,
+    gauges: HashMap<&'static str, Family<Labels, UnsignedGauge>>,
     counters: HashMap<&'static str, Family<Labels, Counter>>,
 }
 
-impl Text {
-    /// Nothing yet.
+impl MetricsText {
+    /// Creates an empty set of metrics.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A figure that may fall.
-    pub fn gauge(&mut self, name: &'static str, help: &str, of: &[(&str, &str)], value: u64) {
+    /// Adds a gauge, with one series for these label pairs.
+    pub fn gauge(&mut self, name: &'static str, help: &str, pairs: &[(&str, &str)], value: u64) {
         let family = self.gauges.entry(name).or_insert_with(|| {
             let family = Family::default();
             self.registry.register(name, help, family.clone());
             family
         });
-        family.get_or_create(&labels(of)).set(value);
+        family.get_or_create(&labels(pairs)).set(value);
     }
 
-    /// A figure that only rises; `_total` is added to its name.
-    pub fn counter(&mut self, name: &'static str, help: &str, of: &[(&str, &str)], value: u64) {
+    /// Adds a counter, with one series for these label pairs; the encoder appends `_total` to its name.
+    pub fn counter(&mut self, name: &'static str, help: &str, pairs: &[(&str, &str)], value: u64) {
         let family = self.counters.entry(name).or_insert_with(|| {
             let family = Family::default();
             self.registry.register(name, help, family.clone());
             family
         });
-        family.get_or_create(&labels(of)).inc_by(value);
+        family.get_or_create(&labels(pairs)).inc_by(value);
     }
 
-    /// The answer to a scrape.
+    /// The response to the scrape: 200 with the encoded metrics, or 500 if encoding fails.
     pub fn reply(&self) -> Response<Full<Bytes>> {
-        scraped(&self.registry)
+        encode_response(&self.registry)
     }
 }
 
-fn scraped(registry: &Registry) -> Response<Full<Bytes>> {
+fn encode_response(registry: &Registry) -> Response<Full<Bytes>> {
     let mut text = String::new();
     match encode(&mut text, registry) {
-        Ok(()) => crate::calls::text(StatusCode::OK, TEXT, text.into_bytes()),
+        Ok(()) => crate::calls::text(StatusCode::OK, PROMETHEUS_CONTENT_TYPE, text.into_bytes()),
         Err(cause) => crate::calls::error(StatusCode::INTERNAL_SERVER_ERROR, cause),
     }
 }
@@ -83,11 +82,11 @@
 /// How a request ended, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// With an upstream's answer.
+    /// With the response of an upstream.
     Served,
-    /// Trying again is harmless.
+    /// Rejected; the client can safely retry.
     Refused,
-    /// Neither.
+    /// With any other failure.
     Failed,
 }
 
@@ -99,7 +98,7 @@
     errors: Counter,
 }
 
-/// What one upstream did with the attempts it was sent, as this proxy saw it.
+/// Metrics of the attempts sent to one upstream, as this proxy observed them.
 pub struct Upstream {
     served: Counter,
     errors: Counter,
@@ -109,17 +108,18 @@
 }
 
 impl Upstream {
-    /// An attempt there ended so after this time. One that was withdrawn or never issued tells nothing of it.
-    pub fn ended(&self, outcome: Outcome, after: Duration) {
+    /// Records the outcome of an attempt and its latency. Cancelled attempts and attempts that were not sent are not
+    /// counted, because they say nothing about the upstream.
+    pub fn record_attempt(&self, outcome: Outcome, latency: Duration) {
         match outcome {
             Outcome::Ok => {
                 self.served.inc();
-                self.latency.observe(after.as_secs_f64());
+                self.latency.observe(latency.as_secs_f64());
             }
-            // The time waited is the least that it would have taken.
+            // The time waited is a lower bound of the latency.
             Outcome::Timeout => {
                 self.errors.inc();
-                self.latency.observe(after.as_secs_f64());
+                self.latency.observe(latency.as_secs_f64());
             }
             Outcome::Error | Outcome::Reset => drop(self.errors.inc()),
             Outcome::Full => drop(self.refused.inc()),
@@ -129,40 +129,40 @@
     }
 }
 
-/// Upper bounds of the latency buckets, in seconds: 1 ms to some 20 s, each a third above the one before.
-fn latency() -> Histogram {
+/// Creates a latency histogram with bucket bounds from 1 ms to about 20 s, each a third above the previous one.
+fn latency_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.001, 4.0 / 3.0, 36))
 }
 
-/// The figures of one proxy.
+/// The metrics of one proxy.
 pub struct Figures {
     registry: Registry,
     requests: Family<Labels, Counter>,
     responses: RefCell<Vec<Responses>>,
-    /// Where the classes of each service begin there.
+    /// Index in `responses` of the first class of each service.
     services: RefCell<FxHashMap<String, usize>>,
-    /// Attempts whose last byte was handed over to an upstream; the streams to upstreams count them.
+    /// Attempts whose last byte was written to an upstream; incremented by the upstream connections.
     pub tries: Counter,
-    /// Rules of the protocol that were broken.
+    /// Violations of protocol rules.
     pub violations: Violations,
     active: Gauge,
     pool: [Gauge; 2],
     attempts: Family<Labels, Counter>,
     latencies: Family<Labels, Histogram, fn() -> Histogram>,
-    /// Upstreams are told apart only where operators can ask.
-    asked: bool,
+    /// Whether metrics are recorded per upstream; only if there is a management address to read them at.
+    per_upstream: bool,
 }
 
 impl Figures {
-    /// Of a proxy whose services are told of by [`Figures::serve`]; `asked` is whether operators have an address to
-    /// ask at.
-    pub fn new(asked: bool) -> Rc<Self> {
+    /// Creates the metrics of a proxy, without services: [`Figures::register_service`] adds them. `per_upstream` is
+    /// whether the proxy has a management address, where metrics per upstream can be read.
+    pub fn new(per_upstream: bool) -> Rc<Self> {
         let mut registry = Registry::default();
         let requests = Family::<Labels, Counter>::default();
         let (tries, active) = (Counter::default(), Gauge::default());
         let pool: [Gauge; 2] = Default::default();
         let attempts = Family::<Labels, Counter>::default();
-        let latencies = Family::new_with_constructor(latency as fn() -> Histogram);
+        let latencies = Family::new_with_constructor(latency_histogram as fn() -> Histogram);
         registry.register("requests", "Requests ended, by class and how", requests.clone());
         registry.register("tries", "Attempts written whole to upstreams", tries.clone());
         registry.register("active", "Requests taken and not ended", active.clone());
@@ -191,13 +191,14 @@
             pool,
             attempts,
             latencies,
-            asked,
+            per_upstream,
         })
     }
 
-    /// A service is served from now on; the name of a proxy's only one is empty. Every class is there from the start:
-    /// an absent one could not be told from one that is never counted.
-    pub fn serve<'a>(&self, service: &str, classes: impl Iterator<Item = &'a str>) {
+    /// Adds the series of a service, unless it has them already. The name is empty if the proxy has a single service.
+    /// Every class is present from the start, at 0: a missing series could not be told apart from one that is never
+    /// incremented.
+    pub fn register_service<'a>(&self, service: &str, classes: impl Iterator<Item = &'a str>) {
         let mut services = self.services.borrow_mut();
         if services.contains_key(service) {
             return;
@@ -205,53 +206,53 @@
         let mut responses = self.responses.borrow_mut();
         services.insert(service.to_owned(), responses.len());
         for class in classes {
-            let of = |end: &str| {
-                let mut of = vec![("class", class), ("end", end)];
+            let counter = |end: &str| {
+                let mut pairs = vec![("class", class), ("end", end)];
                 if !service.is_empty() {
-                    of.push(("service", service));
+                    pairs.push(("service", service));
                 }
-                self.requests.get_or_create(&labels(&of)).clone()
+                self.requests.get_or_create(&labels(&pairs)).clone()
             };
             responses.push(Responses {
                 service: service.to_owned(),
                 class: class.to_owned(),
-                ok: of("ok"),
-                shed: of("shed"),
-                errors: of("errors"),
+                ok: counter("ok"),
+                shed: counter("shed"),
+                errors: counter("errors"),
             });
         }
     }
 
-    /// A request of this service has been taken.
-    pub fn take(self: &Rc<Self>, service: &str, class: usize) -> Taken {
+    /// Counts a request of this service as active until the returned guard is dropped.
+    pub fn start_request(self: &Rc<Self>, service: &str, class: usize) -> ActiveRequest {
         self.active.inc();
         let class = self.services.borrow().get(service).map(|first| first + class);
-        Taken { figures: self.clone(), class, end: Cell::new(None) }
+        ActiveRequest { figures: self.clone(), class, end: Cell::new(None) }
     }
 
-    /// The figures of this upstream; `None` where nobody can ask for them.
+    /// The metrics of this upstream; `None` if metrics are not recorded per upstream.
     pub fn upstream(&self, id: &str) -> Option<Upstream> {
-        let of =
+        let counter =
             |end| self.attempts.get_or_create(&labels(&[("upstream", id), ("end", end)])).clone();
-        self.asked.then(|| Upstream {
-            served: of("served"),
-            errors: of("errors"),
-            refused: of("refused"),
-            unreachable: of("unreachable"),
+        self.per_upstream.then(|| Upstream {
+            served: counter("served"),
+            errors: counter("errors"),
+            refused: counter("refused"),
+            unreachable: counter("unreachable"),
             latency: self.latencies.get_or_create(&labels(&[("upstream", id)])).clone(),
         })
     }
 
-    /// This upstream is gone for good.
-    pub fn forget(&self, id: &str) {
+    /// Removes the series of an upstream that has left the list for good.
+    pub fn remove_upstream(&self, id: &str) {
         for end in ["served", "errors", "refused", "unreachable"] {
             self.attempts.remove(&labels(&[("upstream", id), ("end", end)]));
         }
         self.latencies.remove(&labels(&[("upstream", id)]));
     }
 
-    /// The figures as operators read them, with what the module tells of its upstreams.
-    pub fn told(&self, (pool_size, pool_ejected): (usize, usize)) -> Value {
+    /// The metrics as JSON, with the number of upstreams in the list and of those avoided now.
+    pub fn to_json(&self, (pool_size, pool_ejected): (usize, usize)) -> Value {
         let mut responses = Map::new();
         for r in self.responses.borrow().iter() {
             let (ok, shed, errors) = (r.ok.get(), r.shed.get(), r.errors.get());
@@ -270,30 +271,31 @@
         })
     }
 
-    /// The same and the upstreams', as Prometheus reads them.
-    pub fn scraped(&self, (size, ejected): (usize, usize)) -> Response<Full<Bytes>> {
+    /// The response to a Prometheus scrape: the same metrics and those per upstream.
+    pub fn prometheus_response(&self, (size, ejected): (usize, usize)) -> Response<Full<Bytes>> {
         self.pool[0].set(size as i64);
         self.pool[1].set(ejected as i64);
-        scraped(&self.registry)
+        encode_response(&self.registry)
     }
 }
 
-/// A request from its last byte to the last byte of its answer. It goes with the answer, and counts when that
-/// is done with; a client that left before there was one counts under nothing.
-pub struct Taken {
+/// A guard of an active request, from the last byte of the request to the last byte of the response. It is dropped
+/// with the response and then counts the request by its end; a request whose client left before there was a response
+/// has no end and is not counted.
+pub struct ActiveRequest {
     figures: Rc<Figures>,
     class: Option<usize>,
     end: Cell<Option<End>>,
 }
 
-impl Taken {
-    /// What it will count as; the last word holds.
-    pub fn ends(&self, end: End) {
+impl ActiveRequest {
+    /// Sets how the request is counted when the guard is dropped; the last call wins.
+    pub fn set_end(&self, end: End) {
         self.end.set(Some(end));
     }
 }
 
-impl Drop for Taken {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         let figures = &self.figures;
         figures.active.dec();
