--- a/src/bin/hollowpaddle/management.rs
+++ b/src/bin/hollowpaddle/management.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowpaddle::calls::{Reply, say};
+use hollowpaddle::calls::{Reply, json_reply};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::header::{ALLOW, HeaderValue};
@@ -108,14 +108,15 @@
     async fn answer(&self, request: Request<Incoming>) -> Result<Reply, Infallible> {
         let (head, body) = request.into_parts();
         if Limited::new(body, BODY_LIMIT).collect().await.is_err() {
-            return Ok(say(StatusCode::BAD_REQUEST, &json!({"error": "the body"})));
+            return Ok(json_reply(StatusCode::BAD_REQUEST, &json!({"error": "the body"})));
         }
         let Some(call) = Call::from_path(head.uri.path()) else {
-            return Ok(say(StatusCode::NOT_FOUND, &json!({"error": "no such call"})));
+            return Ok(json_reply(StatusCode::NOT_FOUND, &json!({"error": "no such call"})));
         };
         let method = call.method();
         if head.method != method {
-            let mut answer = say(StatusCode::METHOD_NOT_ALLOWED, &json!({"error": "the method"}));
+            let mut answer =
+                json_reply(StatusCode::METHOD_NOT_ALLOWED, &json!({"error": "the method"}));
             if let Ok(value) = HeaderValue::from_str(method.as_str()) {
                 answer.headers_mut().insert(ALLOW, value);
             }
@@ -124,7 +125,7 @@
         Ok(match call {
             Call::Health => self.health(),
             Call::Stats => {
-                say(StatusCode::OK, &self.figures.told(self.engine.upstream_counts().await))
+                json_reply(StatusCode::OK, &self.figures.told(self.engine.upstream_counts().await))
             }
             Call::Metrics => self.figures.scraped(self.engine.upstream_counts().await),
             Call::Quiesce => self.phase_reply(self.lifecycle.quiesce()),
@@ -137,7 +138,7 @@
         let ready = upstreams && self.lifecycle.serving();
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         let phase = self.lifecycle.phase().name();
-        say(
+        json_reply(
             status,
             &json!({"ready": ready, "phase": phase, "upstreams": upstreams, "pid": std::process::id()}),
         )
@@ -146,6 +147,6 @@
     /// Replies to a phase command. It fails only when the process is stopping, which is final.
     fn phase_reply(&self, done: bool) -> Reply {
         let status = if done { StatusCode::OK } else { StatusCode::CONFLICT };
-        say(status, &json!({"phase": self.lifecycle.phase().name()}))
+        json_reply(status, &json!({"phase": self.lifecycle.phase().name()}))
     }
 }
--- a/src/calls/instances.rs
+++ b/src/calls/instances.rs
@@ -12,36 +12,36 @@
 use super::{CallError, ask};
 
 /// How long one instance may take to answer, at least and at most.
-const LEAST: Duration = Duration::from_millis(100);
-const MOST: Duration = Duration::from_secs(1);
+const MIN_CALL_TIMEOUT: Duration = Duration::from_millis(100);
+const MAX_CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The management addresses of the instances, and the one that last answered as leader.
 #[derive(Debug)]
 pub struct Instances {
     addresses: Vec<SocketAddr>,
     leader: Cell<SocketAddr>,
-    turn: Cell<usize>,
+    position: Cell<usize>,
 }
 
 /// Why no instance decided.
 #[derive(Debug, thiserror::Error)]
-pub enum Undecided {
+pub enum InstanceCallError {
     /// There is none to ask.
     #[error("no list service is named")]
-    None,
+    NoInstances,
     /// None that could answered in time; the write may have been carried out.
     #[error("no list service decided within {0:?}; last: {1}")]
-    Time(Duration, String),
+    TimedOut(Duration, String),
 }
 
 impl Instances {
     /// The instances at these management addresses.
     ///
     /// # Errors
-    /// [`Undecided::None`] for an empty list.
-    pub fn new(addresses: Vec<SocketAddr>) -> Result<Self, Undecided> {
-        let first = *addresses.first().ok_or(Undecided::None)?;
-        Ok(Self { addresses, leader: Cell::new(first), turn: Cell::new(0) })
+    /// [`InstanceCallError::NoInstances`] for an empty list.
+    pub fn new(addresses: Vec<SocketAddr>) -> Result<Self, InstanceCallError> {
+        let first = *addresses.first().ok_or(InstanceCallError::NoInstances)?;
+        Ok(Self { addresses, leader: Cell::new(first), position: Cell::new(0) })
     }
 
     /// The addresses it was given.
@@ -49,47 +49,49 @@
         &self.addresses
     }
 
-    fn next(&self) {
-        let turn = (self.turn.get() + 1) % self.addresses.len();
-        self.turn.set(turn);
-        self.leader.set(self.addresses[turn]);
+    fn select_next(&self) {
+        let position = (self.position.get() + 1) % self.addresses.len();
+        self.position.set(position);
+        self.leader.set(self.addresses[position]);
     }
 
     /// Posts `body` until an instance decides: any answer but 421 (it names the leader, which is asked next) and
     /// 5xx. Between rounds it waits, with jitter. What is posted must bear being carried out twice.
     ///
     /// # Errors
-    /// [`Undecided::Time`].
+    /// [`InstanceCallError::TimedOut`].
     pub async fn post(
         &self,
         path: &str,
         body: &Value,
         within: Duration,
-    ) -> Result<(StatusCode, Value), Undecided> {
-        let until = Instant::now() + within;
-        let mut waits = ExponentialBuilder::default()
+    ) -> Result<(StatusCode, Value), InstanceCallError> {
+        let deadline = Instant::now() + within;
+        let mut backoff = ExponentialBuilder::default()
             .with_min_delay(Duration::from_millis(20))
             .with_max_delay(Duration::from_millis(500))
             .with_jitter()
             .without_max_times()
             .build();
         // One that is silent (paused, or cut off) must leave time for the others.
-        let each = (within / self.addresses.len() as u32).clamp(LEAST, MOST).min(within);
-        let mut last = String::from("not asked");
+        let call_timeout = (within / self.addresses.len() as u32)
+            .clamp(MIN_CALL_TIMEOUT, MAX_CALL_TIMEOUT)
+            .min(within);
+        let mut last_failure = String::from("not asked");
         loop {
             let address = self.leader.get();
-            let call = ask(address, Method::POST, path, body.to_string(), each);
-            match timeout_at(until, call).await {
+            let call = ask(address, Method::POST, path, body.to_string(), call_timeout);
+            match timeout_at(deadline, call).await {
                 Err(_) => {
-                    self.next();
-                    return Err(Undecided::Time(within, last));
+                    self.select_next();
+                    return Err(InstanceCallError::TimedOut(within, last_failure));
                 }
                 Ok(Ok((status, answer))) => {
                     let value: Value = serde_json::from_slice(&answer).unwrap_or_default();
                     if status == StatusCode::MISDIRECTED_REQUEST {
-                        last = format!("{address} does not lead");
-                        let named = value["leader"].as_str().and_then(|a| a.parse().ok());
-                        if let Some(leader) = named.filter(|l| *l != address) {
+                        last_failure = format!("{address} does not lead");
+                        let named_leader = value["leader"].as_str().and_then(|a| a.parse().ok());
+                        if let Some(leader) = named_leader.filter(|l| *l != address) {
                             self.leader.set(leader);
                             // A name may be out of date; two that name each other must not be asked in a spin.
                             sleep(Duration::from_millis(2)).await;
@@ -97,22 +99,22 @@
                         }
                     } else if status.is_server_error() && status != StatusCode::INSUFFICIENT_STORAGE
                     {
-                        last = format!("{address} answered {status}");
+                        last_failure = format!("{address} answered {status}");
                     } else {
                         return Ok((status, value));
                     }
                 }
                 Ok(Err(error @ CallError::Request(..))) => {
-                    return Err(Undecided::Time(within, error.to_string()));
+                    return Err(InstanceCallError::TimedOut(within, error.to_string()));
                 }
-                Ok(Err(error)) => last = error.to_string(),
+                Ok(Err(error)) => last_failure = error.to_string(),
             }
-            self.next();
-            let wait = waits.next().unwrap_or(Duration::from_millis(500));
-            if Instant::now() + wait >= until {
-                return Err(Undecided::Time(within, last));
+            self.select_next();
+            let delay = backoff.next().unwrap_or(Duration::from_millis(500));
+            if Instant::now() + delay >= deadline {
+                return Err(InstanceCallError::TimedOut(within, last_failure));
             }
-            sleep(wait).await;
+            sleep(delay).await;
         }
     }
 }
--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -28,15 +28,15 @@
 use crate::tasks::AbortOnDrop;
 
 /// PROTOCOL: no body exceeds 64 KiB; nor does a head here.
-pub const LIMIT: usize = 64 << 10;
+pub const MAX_BODY_BYTES: usize = 64 << 10;
 /// A caller that has not sent a whole head by then is let go.
-const HEAD_WITHIN: Duration = Duration::from_secs(10);
+const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Descriptors that are no caller's: standard streams, listeners, event queue, the state on disk, calls to others.
-const RESERVED: usize = 64;
+const RESERVED_DESCRIPTORS: usize = 64;
 /// Callers over the limit who are told so at once; the next are closed.
-const REFUSALS: usize = 16;
+const MAX_CONCURRENT_REFUSALS: usize = 16;
 /// How long one of them may take to hear it.
-const REFUSED_WITHIN: Duration = Duration::from_secs(1);
+const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// One call as it came.
 #[derive(Debug)]
@@ -53,17 +53,17 @@
 pub type Reply = Response<Full<Bytes>>;
 
 /// An answer in JSON, on one line.
-pub fn say(status: StatusCode, value: &Value) -> Reply {
-    text(status, "application/json", format!("{value}\n").into_bytes())
+pub fn json_reply(status: StatusCode, value: &Value) -> Reply {
+    reply_with_type(status, "application/json", format!("{value}\n").into_bytes())
 }
 
 /// An error in JSON: `{"error":"..."}`.
 pub fn error(status: StatusCode, cause: impl std::fmt::Display) -> Reply {
-    say(status, &json!({ "error": cause.to_string() }))
+    json_reply(status, &json!({ "error": cause.to_string() }))
 }
 
 /// An answer of this content type.
-pub fn text(status: StatusCode, kind: &'static str, body: Vec<u8>) -> Reply {
+pub fn reply_with_type(status: StatusCode, kind: &'static str, body: Vec<u8>) -> Reply {
     let mut answer = Response::new(Full::from(body));
     *answer.status_mut() = status;
     answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
@@ -72,7 +72,7 @@
 
 /// Raises this process's limit of descriptors as far as the system lets it, and returns it: a list service holds one
 /// for each proxy.
-pub fn raise_descriptors() -> usize {
+pub fn raise_descriptor_limit() -> usize {
     let mut limit = getrlimit(Resource::Nofile);
     let most = limit.maximum;
     if limit.current != most {
@@ -91,48 +91,49 @@
 
 thread_local! {
     /// Connections open on all listeners of this thread, on which a process has them all.
-    static OPEN: Cell<usize> = const { Cell::new(0) };
+    static OPEN_CONNECTIONS: Cell<usize> = const { Cell::new(0) };
 }
 
-/// One connection's place, given back when dropped.
-struct Place;
+/// One connection's slot, given back when dropped.
+struct ConnectionSlot;
 
-impl Place {
+impl ConnectionSlot {
     fn take(most: usize) -> Option<Self> {
-        let open = OPEN.get();
+        let open = OPEN_CONNECTIONS.get();
         (open < most).then(|| {
-            OPEN.set(open + 1);
+            OPEN_CONNECTIONS.set(open + 1);
             Self
         })
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        OPEN.set(OPEN.get() - 1);
+        OPEN_CONNECTIONS.set(OPEN_CONNECTIONS.get() - 1);
     }
 }
 
-/// Accepts connections until the task is dropped, and hands each stream to `converse`: as many at once as the
+/// Accepts connections until the task is dropped, and hands each stream to `handle_connection`: as many at once as the
 /// process has descriptors for. The next get 503, and the log says so once; so it does of accepts that fail.
 pub async fn accept<F: Future<Output = ()> + 'static>(
     listener: TcpListener,
-    converse: impl Fn(TcpStream) -> F,
+    handle_connection: impl Fn(TcpStream) -> F,
 ) {
-    accept_at_most(descriptors().saturating_sub(RESERVED), listener, converse).await;
+    accept_at_most(descriptors().saturating_sub(RESERVED_DESCRIPTORS), listener, handle_connection)
+        .await;
 }
 
 async fn accept_at_most<F: Future<Output = ()> + 'static>(
     most: usize,
     listener: TcpListener,
-    converse: impl Fn(TcpStream) -> F,
+    handle_connection: impl Fn(TcpStream) -> F,
 ) {
-    let (refusals, mut trouble) = (Rc::new(()), false);
+    let (refusals, mut reported) = (Rc::new(()), false);
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(cause) => {
-                if !std::mem::replace(&mut trouble, true) {
+                if !std::mem::replace(&mut reported, true) {
                     tracing::warn!(%cause, "connections are not accepted");
                 }
                 after_failed_accept(&cause).await;
@@ -140,27 +141,27 @@
             }
         };
         let _ = stream.set_nodelay(true);
-        if let Some(place) = Place::take(most) {
-            if std::mem::replace(&mut trouble, false) {
+        if let Some(slot) = ConnectionSlot::take(most) {
+            if std::mem::replace(&mut reported, false) {
                 tracing::info!("connections are accepted again");
             }
-            let converse = converse(stream);
+            let handle_connection = handle_connection(stream);
             tokio::task::spawn_local(async move {
-                converse.await;
-                drop(place);
+                handle_connection.await;
+                drop(slot);
             });
             continue;
         }
-        if !std::mem::replace(&mut trouble, true) {
+        if !std::mem::replace(&mut reported, true) {
             tracing::warn!(
                 most,
                 "the limit of descriptors allows no more connections; callers get 503"
             );
         }
-        if Rc::strong_count(&refusals) <= REFUSALS {
+        if Rc::strong_count(&refusals) <= MAX_CONCURRENT_REFUSALS {
             let refusal = refusals.clone();
             tokio::task::spawn_local(async move {
-                let _ = timeout(REFUSED_WITHIN, refuse(stream, most)).await;
+                let _ = timeout(REFUSAL_TIMEOUT, refuse(stream, most)).await;
                 drop(refusal);
             });
         }
@@ -184,7 +185,10 @@
 /// A server for one connection: bounded heads, and bounded time for each.
 pub fn connection() -> http1::Builder {
     let mut builder = http1::Builder::new();
-    builder.timer(TokioTimer::new()).header_read_timeout(HEAD_WITHIN).max_buf_size(LIMIT);
+    builder
+        .timer(TokioTimer::new())
+        .header_read_timeout(REQUEST_HEAD_TIMEOUT)
+        .max_buf_size(MAX_BODY_BYTES);
     builder
 }
 
@@ -246,13 +250,13 @@
 }
 
 /// A connection that calls are made on, one at a time.
-pub struct Line {
+pub struct PersistentConnection {
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
     _connection: AbortOnDrop,
 }
 
-impl Line {
+impl PersistentConnection {
     /// Connects.
     ///
     /// # Errors
@@ -309,7 +313,9 @@
     body: impl Into<Bytes>,
     within: Duration,
 ) -> Result<(StatusCode, Bytes), CallError> {
-    let call = async { Line::open(address).await?.ask(method, path, body, 16 << 20).await };
+    let call = async {
+        PersistentConnection::open(address).await?.ask(method, path, body, 16 << 20).await
+    };
     timeout(within, call).await.unwrap_or(Err(CallError::Silent(address, within)))
 }
 
--- a/src/discovery/management.rs
+++ b/src/discovery/management.rs
@@ -32,7 +32,7 @@
 use super::filter::Filter;
 use super::member::{Member, Phase};
 use super::server::ListService;
-use crate::calls::{self, Call, LIMIT, Reply, error, say};
+use crate::calls::{self, Call, MAX_BODY_BYTES, Reply, error, json_reply};
 use crate::figures::Text;
 use crate::lease::table::{LeaseCommand, TTL_MS, Token};
 use crate::replica::command::{Command, Fence, Outcome};
@@ -89,7 +89,9 @@
 
     /// Serves calls until the task is dropped.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
-        let limit = |path: &str| if path == "/peer/messages" { PEER_CALL_MAX_BYTES } else { LIMIT };
+        let limit = |path: &str| {
+            if path == "/peer/messages" { PEER_CALL_MAX_BYTES } else { MAX_BODY_BYTES }
+        };
         calls::serve(listener, limit, move |call| self.clone().answer(call)).await;
     }
 
@@ -97,13 +99,13 @@
         let path = call.path.as_str();
         if path == "/peer/messages" && call.method == Method::POST {
             return match self.host.receive_messages(&call.body) {
-                Ok(()) => calls::text(StatusCode::OK, "application/json", FORMS.into()),
+                Ok(()) => calls::reply_with_type(StatusCode::OK, "application/json", FORMS.into()),
                 Err(cause) => error(StatusCode::BAD_REQUEST, cause),
             };
         }
         if path == "/admin/members" && call.method == Method::GET {
             let line = self.host.read(|m| m.list().full_list(&Filter::all()).line());
-            return calls::text(StatusCode::OK, "application/json", line);
+            return calls::reply_with_type(StatusCode::OK, "application/json", line);
         }
         let reads = ["/admin/health", "/admin/stats", "/admin/leases", "/metrics"];
         let writes = [
@@ -138,11 +140,11 @@
                 let leads = leader == Some(id);
                 let health =
                     json!({"ready": ready, "leads": leads, "leader": leader, "trouble": trouble});
-                say(status, &health)
+                json_reply(status, &health)
             }
             "/admin/leases" => {
                 let duties = self.host.read(|m| json!({"duties": m.leases().duties()}));
-                say(StatusCode::OK, &duties)
+                json_reply(StatusCode::OK, &duties)
             }
             "/admin/stats" => {
                 let (revision, members) = self.host.read(|m| (m.list().revision(), m.list().len()));
@@ -152,7 +154,7 @@
                     "writes": counts.writes.get(), "batches": counts.batches.get(),
                     "elections": counts.elections.get(), "trouble": trouble,
                 });
-                say(StatusCode::OK, &stats)
+                json_reply(StatusCode::OK, &stats)
             }
             _ => self.metrics(id, leader, term),
         }
@@ -227,7 +229,7 @@
             "/admin/members/renew" => {
                 let Named { id } = read(body)?;
                 return Ok(ManagementCall::MemberRenewed(match self.host.renew_member(&id) {
-                    Ok(true) => say(StatusCode::OK, &json!({})),
+                    Ok(true) => json_reply(StatusCode::OK, &json!({})),
                     Ok(false) => error(StatusCode::NOT_FOUND, "no such member with a TTL"),
                     Err(why) => write_error(why),
                 }));
@@ -265,7 +267,9 @@
             _ => None,
         };
         match self.host.decide(command).await {
-            Ok(Outcome::Revision(revision)) => say(StatusCode::OK, &json!({"revision": revision})),
+            Ok(Outcome::Revision(revision)) => {
+                json_reply(StatusCode::OK, &json!({"revision": revision}))
+            }
             Ok(Outcome::Grant(grant)) => {
                 if let (Some(duty), Some(grant)) = (acquired, &grant) {
                     tracing::info!(
@@ -275,7 +279,7 @@
                         "duty granted"
                     );
                 }
-                say(StatusCode::OK, &json!({"grant": grant}))
+                json_reply(StatusCode::OK, &json!({"grant": grant}))
             }
             Ok(Outcome::Unknown) => error(StatusCode::NOT_FOUND, "no such member"),
             Ok(Outcome::Refused(refusal)) => error(StatusCode::CONFLICT, refusal),
@@ -299,7 +303,7 @@
         WriteError::NotLeader(Some(leader)) => {
             let leader = leader.to_string();
             let body = json!({"error": why.to_string(), "leader": leader});
-            return say(StatusCode::MISDIRECTED_REQUEST, &body);
+            return json_reply(StatusCode::MISDIRECTED_REQUEST, &body);
         }
         WriteError::NotLeader(None) => StatusCode::MISDIRECTED_REQUEST,
         WriteError::Disk(_) => StatusCode::INSUFFICIENT_STORAGE,
--- a/src/discovery/server.rs
+++ b/src/discovery/server.rs
@@ -33,7 +33,7 @@
 use super::filter::Filter;
 use super::member::Message;
 use super::store::{ChangesSince, Store};
-use crate::calls::{self, LIMIT};
+use crate::calls::{self, MAX_BODY_BYTES};
 use crate::replica::host::Host;
 use crate::socket::Socket;
 
@@ -169,7 +169,7 @@
         request: Request<Incoming>,
     ) -> Result<ListResponse, Infallible> {
         let (head, body) = request.into_parts();
-        if Limited::new(body, LIMIT).collect().await.is_err() {
+        if Limited::new(body, MAX_BODY_BYTES).collect().await.is_err() {
             return Ok(error(StatusCode::PAYLOAD_TOO_LARGE, "a body over 64 KiB"));
         }
         if head.method != Method::GET {
@@ -182,7 +182,7 @@
                     (self.host.ready(), self.host.read(|m| m.list().revision()));
                 let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
                 let body = serde_json::json!({"ready": ready, "revision": revision});
-                return Ok(calls::say(status, &body).map(Either::Left));
+                return Ok(calls::json_reply(status, &body).map(Either::Left));
             }
             _ => return Ok(error(StatusCode::NOT_FOUND, "no such path")),
         }
@@ -193,7 +193,8 @@
             Err(cause) => Ok(error(StatusCode::BAD_REQUEST, cause)),
             Ok(Query { stream: false, filter, .. }) => {
                 let line = self.host.read(|m| m.list().full_list(&filter).line());
-                Ok(calls::text(StatusCode::OK, "application/json", line).map(Either::Left))
+                Ok(calls::reply_with_type(StatusCode::OK, "application/json", line)
+                    .map(Either::Left))
             }
             Ok(Query { stream: true, index, filter }) => Ok(self.watch(index, filter)),
         }
--- a/src/discovery/sweep.rs
+++ b/src/discovery/sweep.rs
@@ -12,7 +12,7 @@
 
 use super::member::{Message, Phase};
 use crate::calls::instances::Instances;
-use crate::calls::{self, Call, LIMIT, error, say};
+use crate::calls::{self, Call, MAX_BODY_BYTES, error, json_reply};
 use crate::figures::Text;
 use crate::lease::client::Duty;
 use crate::tasks::AbortOnDrop;
@@ -54,7 +54,7 @@
     let health_duty = duty.clone();
     let _figures = AbortOnDrop(tokio::task::spawn_local(calls::serve(
         listener,
-        |_| LIMIT,
+        |_| MAX_BODY_BYTES,
         move |call| {
             let answer = answer(&health_duty, &call);
             async move { answer }
@@ -100,7 +100,7 @@
     }
     let (renewals, lost) = duty.counts();
     match call.path.as_str() {
-        "/-/ready" | "/admin/health" => say(StatusCode::OK, &json!({"token": duty.token()})),
+        "/-/ready" | "/admin/health" => json_reply(StatusCode::OK, &json!({"token": duty.token()})),
         "/metrics" => {
             let (mut text, of) = (Text::new(), [("duty", DUTY)]);
             text.gauge(
--- a/src/figures/mod.rs
+++ b/src/figures/mod.rs
@@ -75,7 +75,7 @@
 fn scraped(registry: &Registry) -> Response<Full<Bytes>> {
     let mut text = String::new();
     match encode(&mut text, registry) {
-        Ok(()) => crate::calls::text(StatusCode::OK, TEXT, text.into_bytes()),
+        Ok(()) => crate::calls::reply_with_type(StatusCode::OK, TEXT, text.into_bytes()),
         Err(cause) => crate::calls::error(StatusCode::INTERNAL_SERVER_ERROR, cause),
     }
 }
--- a/src/hollow/driver.rs
+++ b/src/hollow/driver.rs
@@ -33,8 +33,8 @@
 use super::figures::{BalancerFigures, Balancers, add};
 use super::tally::Tally;
 use super::upstream::{BalancerFault, HollowUpstream, Order, UpstreamFault};
-use crate::calls::instances::{Instances, Undecided};
-use crate::calls::{self, Call, LIMIT, Reply, error, say};
+use crate::calls::instances::{InstanceCallError, Instances};
+use crate::calls::{self, Call, MAX_BODY_BYTES, Reply, error, json_reply};
 use crate::configuration::ConfigError;
 use crate::discovery::client::{self, ListEvent};
 use crate::discovery::filter::Filter;
@@ -60,7 +60,7 @@
     Config(#[from] ConfigError),
     /// There is nowhere to register.
     #[error("lists.management: {0}")]
-    Lists(#[from] Undecided),
+    Lists(#[from] InstanceCallError),
 }
 
 /// The clock of the modules: monotonic, and set once to Unix time.
@@ -188,7 +188,7 @@
                     running: Cell::new(false),
                 })
             })
-            .collect::<Result<Vec<_>, Undecided>>()?;
+            .collect::<Result<Vec<_>, InstanceCallError>>()?;
         let clock = Clock::new();
         Ok(Rc::new(Self { config, facts, clock, tally, dispatch, balancers, upstreams }))
     }
@@ -203,7 +203,7 @@
             self.start_upstream(i, after);
         }
         let this = self.clone();
-        calls::serve(listener, |_| LIMIT, move |call| this.clone().answer(call)).await;
+        calls::serve(listener, |_| MAX_BODY_BYTES, move |call| this.clone().answer(call)).await;
     }
 
     /// A moment in `within`, of upstream or balancer `i`.
@@ -413,15 +413,15 @@
         let path = call.path.as_str();
         match (path, call.method == Method::GET, call.method == Method::POST) {
             ("/metrics", true, _) => self.metrics(),
-            ("/admin/stats", true, _) => say(StatusCode::OK, &self.sums()),
+            ("/admin/stats", true, _) => json_reply(StatusCode::OK, &self.sums()),
             ("/admin/hollow", true, _) => {
                 let mut all = self.sums();
                 let each = self.balancers.iter().map(|b| b.figures.told(&b.id, &b.zone));
                 all["each"] = each.collect();
-                say(StatusCode::OK, &all)
+                json_reply(StatusCode::OK, &all)
             }
             (path, true, _) if reads.contains(&path) => {
-                say(StatusCode::OK, &json!({"ready": true}))
+                json_reply(StatusCode::OK, &json!({"ready": true}))
             }
             ("/admin/hollow/upstreams", _, true) => ordered(&call.body, |o| self.upstreams(o)),
             ("/admin/hollow/balancers", _, true) => ordered(&call.body, |o| self.balancers(o)),
@@ -480,7 +480,7 @@
 {
     let mut reader = serde_json::Deserializer::from_slice(body);
     match serde_path_to_error::deserialize(&mut reader) {
-        Ok(order) => say(StatusCode::OK, &json!({"chosen": carry_out(&order)})),
+        Ok(order) => json_reply(StatusCode::OK, &json!({"chosen": carry_out(&order)})),
         Err(cause) => error(StatusCode::BAD_REQUEST, cause),
     }
 }
--- a/src/release/control.rs
+++ b/src/release/control.rs
@@ -14,7 +14,7 @@
 use super::driver::{Release, status};
 use super::plan::Plan;
 use super::state;
-use crate::calls::{self, Call, LIMIT, Reply, ask, error, say};
+use crate::calls::{self, Call, MAX_BODY_BYTES, Reply, ask, error, json_reply};
 
 /// How long a call to the controller may take.
 const WITHIN: Duration = Duration::from_secs(2);
@@ -23,7 +23,7 @@
 pub async fn serve(listener: TcpListener, release: Rc<Release>) {
     calls::serve(
         listener,
-        |_| LIMIT,
+        |_| MAX_BODY_BYTES,
         move |call| {
             let answer = answer(&release, &call);
             async move { answer }
@@ -45,7 +45,7 @@
         return error(StatusCode::METHOD_NOT_ALLOWED, "the method");
     }
     match word.map_or(Ok(()), |word| release.told(word)) {
-        Ok(()) => say(StatusCode::OK, &release.status()),
+        Ok(()) => json_reply(StatusCode::OK, &release.status()),
         Err(cause) => error(StatusCode::CONFLICT, cause),
     }
 }
--- a/src/replica/host.rs
+++ b/src/replica/host.rs
@@ -19,7 +19,7 @@
 use super::core::{self, ELECTION_TICKS, ProposalId, ProposalRejected, Replica, ReplicaError};
 use super::machine::Machine;
 use super::storage::{DecodeError, RaftStorage, Record};
-use crate::calls::Line;
+use crate::calls::PersistentConnection;
 use crate::store::{Log, Opened, Recovery, StoreError};
 
 /// How long a write may wait for a majority before its caller is told that the outcome is unknown.
@@ -484,7 +484,8 @@
             }
             let call = async {
                 if connection.is_none() {
-                    connection = Some(Line::open(address).await.map_err(|e| e.to_string())?);
+                    connection =
+                        Some(PersistentConnection::open(address).await.map_err(|e| e.to_string())?);
                 }
                 let Some(connected) = connection.as_mut() else { return Ok(()) };
                 let answer =
--- a/src/roles/mod.rs
+++ b/src/roles/mod.rs
@@ -37,9 +37,9 @@
 use crate::tasks::AbortOnDrop;
 
 /// How long an instance that stops waits for another to lead.
-const HAND_OVER_WITHIN: Duration = Duration::from_millis(500);
+const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a member that stops tries to leave the list.
-const LEAVE_WITHIN: Duration = Duration::from_secs(1);
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why a role ended before it was told to.
 #[derive(Debug, thiserror::Error)]
@@ -113,15 +113,16 @@
 pub fn discovery(args: &DiscoveryArgs) -> Result<(), RoleError> {
     let config = DiscoveryConfig::load(&args.config)?;
     run(async move {
-        let descriptors = crate::calls::raise_descriptors();
+        let descriptors = crate::calls::raise_descriptor_limit();
         tracing::info!(descriptors, "one is needed for each watch");
         // Nothing is served before the state has been checked.
         let recovery = match args.restore_last_good {
             true => Recovery::LastGoodSnapshot,
             false => Recovery::Strict,
         };
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let anew = if config.state_dir.is_some() { 0 } else { unix.as_millis() as u64 };
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let initial_revision =
+            if config.state_dir.is_some() { 0 } else { since_epoch.as_millis() as u64 };
         let host = Host::start(Setup {
             id: config.id,
             peers: config.peers.iter().map(|p| (p.id, p.management)).collect(),
@@ -131,7 +132,7 @@
             snapshot_bytes: config.snapshot_bytes,
             election: Duration::from_millis(config.election_ms),
             history: config.history,
-            seed: (config.start_revision.unwrap_or(anew), config.members),
+            seed: (config.start_revision.unwrap_or(initial_revision), config.members),
         })?;
         let (members, revision) = host.read(|m| (m.list().len(), m.list().revision()));
         tracing::info!(members, revision, "list loaded");
@@ -147,7 +148,7 @@
         };
         let (listener, _) = listen(config.listen).await?;
         until_stopped(service.serve(listener)).await?;
-        host.transfer_leadership(HAND_OVER_WITHIN).await;
+        host.transfer_leadership(LEADERSHIP_TRANSFER_TIMEOUT).await;
         Ok(())
     })
 }
@@ -165,7 +166,7 @@
     };
     run(async move {
         let (listener, bound) = listen(args.listen).await?;
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let member = Member {
             id: args.name,
             host_port: bound.to_string(),
@@ -174,7 +175,7 @@
             cell: 0,
             phase: Phase::Serving,
             size: 1.0,
-            up_since_ms: unix.as_millis() as f64,
+            up_since_ms: since_epoch.as_millis() as f64,
             service: args.service,
         };
         let serving = crate::stand_in::serve(listener, manner);
@@ -184,7 +185,7 @@
         // It serves until it is out of the list.
         let listed = async {
             until_stopped(registration::keep(&instances, &member, ttl)).await?;
-            registration::leave(&instances, &member, LEAVE_WITHIN).await;
+            registration::leave(&instances, &member, LEAVE_TIMEOUT).await;
             Ok(())
         };
         tokio::select! {
@@ -210,7 +211,7 @@
 pub fn hollow(args: &RoleArgs) -> Result<(), RoleError> {
     let config = HollowConfig::load(&args.config)?;
     run(async move {
-        let descriptors = crate::calls::raise_descriptors();
+        let descriptors = crate::calls::raise_descriptor_limit();
         tracing::info!(descriptors, "each balancer takes one, and each call of an upstream");
         let address = config.management;
         let hollow = Hollow::new(config).map_err(|e| match e {
@@ -244,7 +245,7 @@
 pub fn release(command: &ReleaseCommand) -> Result<(), RoleError> {
     let plan = Plan::load(command.config())?;
     run(async {
-        let word = match command {
+        let action = match command {
             ReleaseCommand::Start(_) => {
                 let release = Release::open(plan)?;
                 let (listener, _) = listen(release.plan.management).await?;
@@ -261,9 +262,9 @@
             ReleaseCommand::Resume(_) => Some("resume"),
             ReleaseCommand::Rollback(_) => Some("rollback"),
         };
-        let status = match word {
+        let status = match action {
             None => control::look(&plan).await,
-            Some(word) => control::tell(&plan, word).await,
+            Some(action) => control::tell(&plan, action).await,
         };
         print!("{}", control::lines(&status.map_err(RoleError::Refused)?));
         Ok(())
@@ -298,19 +299,19 @@
         let state = state.map_err(|e| e.to_string())?;
         return Ok(format!("{files}; release state {state:?}"));
     }
-    let kept =
+    let storage =
         RaftStorage::restore(vec![], snapshot.as_deref(), &records).map_err(|e| e.to_string())?;
-    let state = kept.hard_state();
-    let (applied, machine) = kept.state();
+    let state = storage.hard_state();
+    let (applied, machine) = storage.state();
     let machine = (applied > 0).then(|| postcard::from_bytes::<Machine>(machine)).transpose();
     let machine = machine.map_err(|e| e.to_string())?.unwrap_or_else(|| Machine::new(1));
     Ok(format!(
         "{files}; of instances {:?}; term {}, commit {}, last entry {}; snapshot at entry {applied}: {} members at revision {}, \
          last token {}",
-        kept.voters(),
+        storage.voters(),
         state.term,
         state.commit,
-        kept.last(),
+        storage.last(),
         machine.list().len(),
         machine.list().revision(),
         machine.leases().last_token()
--- a/src/stand_in/mod.rs
+++ b/src/stand_in/mod.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-use crate::calls::{self, LIMIT};
+use crate::calls::{self, MAX_BODY_BYTES};
 use crate::socket::Socket;
 
 /// How it answers.
@@ -41,7 +41,8 @@
                 let manner = manner.clone();
                 async move {
                     let (Manner { delay, error_every, .. }, name, count) = &*manner;
-                    let whole = Limited::new(request.into_body(), LIMIT).collect().await.is_ok();
+                    let whole =
+                        Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await.is_ok();
                     if !delay.is_zero() {
                         sleep(*delay).await;
                     }
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -303,7 +303,7 @@
 #[test]
 fn one_instance_holds_a_thousand_watches_and_members() {
     // Both ends of each watch are descriptors: this process's and the instance's.
-    assert!(hollowpaddle::calls::raise_descriptors() > MANY + 100, "too few descriptors here");
+    assert!(hollowpaddle::calls::raise_descriptor_limit() > MANY + 100, "too few descriptors here");
     let mut fleet = Fleet::default();
     let cluster = Cluster::start(&mut fleet, 1, &seeds(MANY, free()));
     let held = look(cluster.calls[0], "/admin/stats")["revision"].as_u64().expect("a revision");
