--- a/src/calls/instances.rs
+++ b/src/calls/instances.rs
@@ -1,4 +1,4 @@
-//! A write to the list service, made of whichever of its instances leads.
+//! Sends writes to the list service, whichever of its instances currently leads.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -11,11 +11,11 @@
 
 use super::{CallError, ask};
 
-/// How long one instance may take to answer, at least and at most.
+/// Bounds of the time that one instance gets to answer.
 const MIN_CALL_TIMEOUT: Duration = Duration::from_millis(100);
 const MAX_CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The management addresses of the instances, and the one that last answered as leader.
+/// The management addresses of the list service's instances, and the one believed to lead.
 #[derive(Debug)]
 pub struct Instances {
     addresses: Vec<SocketAddr>,
@@ -23,28 +23,28 @@
     position: Cell<usize>,
 }
 
-/// Why no instance decided.
+/// Why no instance decided a call.
 #[derive(Debug, thiserror::Error)]
 pub enum InstanceCallError {
-    /// There is none to ask.
+    /// No instance is configured.
     #[error("no list service is named")]
     NoInstances,
-    /// None that could answered in time; the write may have been carried out.
+    /// No instance decided the call within the time allowed. The write may still have been applied.
     #[error("no list service decided within {0:?}; last: {1}")]
     TimedOut(Duration, String),
 }
 
 impl Instances {
-    /// The instances at these management addresses.
+    /// Creates the set of instances from their management addresses; the first is asked first.
     ///
     /// # Errors
-    /// [`InstanceCallError::NoInstances`] for an empty list.
+    /// [`InstanceCallError::NoInstances`] if `addresses` is empty.
     pub fn new(addresses: Vec<SocketAddr>) -> Result<Self, InstanceCallError> {
         let first = *addresses.first().ok_or(InstanceCallError::NoInstances)?;
         Ok(Self { addresses, leader: Cell::new(first), position: Cell::new(0) })
     }
 
-    /// The addresses it was given.
+    /// The configured management addresses.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
@@ -55,11 +55,12 @@
         self.leader.set(self.addresses[position]);
     }
 
-    /// Posts `body` until an instance decides: any answer but 421 (it names the leader, which is asked next) and
-    /// 5xx. Between rounds it waits, with jitter. What is posted must bear being carried out twice.
+    /// Posts `body` until an instance decides the call. Any answer is a decision except 421, which names the leader to
+    /// ask next, and 5xx other than 507. Failed attempts are followed by a back-off with jitter. The request must be
+    /// idempotent, since it may be carried out more than once.
     ///
     /// # Errors
-    /// [`InstanceCallError::TimedOut`].
+    /// [`InstanceCallError::TimedOut`] if no instance decides within `within`, or if the request cannot be built.
     pub async fn post(
         &self,
         path: &str,
@@ -73,7 +74,7 @@
             .with_jitter()
             .without_max_times()
             .build();
-        // One that is silent (paused, or cut off) must leave time for the others.
+        // An instance that does not answer (paused or partitioned) must leave time to ask the others.
         let call_timeout = (within / self.addresses.len() as u32)
             .clamp(MIN_CALL_TIMEOUT, MAX_CALL_TIMEOUT)
             .min(within);
@@ -93,7 +94,8 @@
                         let named_leader = value["leader"].as_str().and_then(|a| a.parse().ok());
                         if let Some(leader) = named_leader.filter(|l| *l != address) {
                             self.leader.set(leader);
-                            // A name may be out of date; two that name each other must not be asked in a spin.
+                            // The named leader may be out of date. The pause prevents a busy loop between two
+                            // instances that name each other.
                             sleep(Duration::from_millis(2)).await;
                             continue;
                         }
--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -1,5 +1,5 @@
-//! Short calls over HTTP/1.1 between processes of the program and from its operators: [`serve`] answers them,
-//! [`ask`] makes one, [`instances::Instances`] makes one of whichever instance can decide it.
+//! Short HTTP/1.1 calls between processes of the program and from its operators: [`serve`] answers calls, [`ask`]
+//! makes one, and [`instances::Instances`] sends one to whichever list service instance can decide it.
 
 pub mod instances;
 
@@ -27,42 +27,43 @@
 use crate::socket::{Socket, after_failed_accept};
 use crate::tasks::AbortOnDrop;
 
-/// PROTOCOL: no body exceeds 64 KiB; nor does a head here.
+/// The largest request body that PROTOCOL allows, 64 KiB. Request heads have the same limit here.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
-/// A caller that has not sent a whole head by then is let go.
+/// A connection is closed if its caller has not sent a complete request head within this time.
 const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Descriptors that are no caller's: standard streams, listeners, event queue, the state on disk, calls to others.
+/// File descriptors that are not available to callers: standard streams, listeners, the event queue, state files, and
+/// outgoing calls.
 const RESERVED_DESCRIPTORS: usize = 64;
-/// Callers over the limit who are told so at once; the next are closed.
+/// How many connections over the limit may be answered with 503 at the same time; further ones are closed.
 const MAX_CONCURRENT_REFUSALS: usize = 16;
-/// How long one of them may take to hear it.
+/// How long answering a refused connection may take.
 const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One call as it came.
+/// A received call.
 #[derive(Debug)]
 pub struct Call {
-    /// Its method.
+    /// The request method.
     pub method: Method,
-    /// Its path, without the query.
+    /// The request path, without the query.
     pub path: String,
-    /// Its body, whole.
+    /// The complete request body.
     pub body: Bytes,
 }
 
-/// What it is answered with.
+/// The response to a call.
 pub type Reply = Response<Full<Bytes>>;
 
-/// An answer in JSON, on one line.
+/// A JSON response on one line.
 pub fn json_reply(status: StatusCode, value: &Value) -> Reply {
     reply_with_type(status, "application/json", format!("{value}\n").into_bytes())
 }
 
-/// An error in JSON: `{"error":"..."}`.
+/// An error response in JSON: `{"error":"..."}`.
 pub fn error(status: StatusCode, cause: impl std::fmt::Display) -> Reply {
     json_reply(status, &json!({ "error": cause.to_string() }))
 }
 
-/// An answer of this content type.
+/// A response with the content type `kind`.
 pub fn reply_with_type(status: StatusCode, kind: &'static str, body: Vec<u8>) -> Reply {
     let mut answer = Response::new(Full::from(body));
     *answer.status_mut() = status;
@@ -70,15 +71,15 @@
     answer
 }
 
-/// Raises this process's limit of descriptors as far as the system lets it, and returns it: a list service holds one
-/// for each proxy.
+/// Raises the process's file descriptor limit to the hard limit and returns the limit in force. A list service
+/// instance needs one descriptor for each proxy.
 pub fn raise_descriptor_limit() -> usize {
     let mut limit = getrlimit(Resource::Nofile);
     let most = limit.maximum;
     if limit.current != most {
         limit.current = most;
         if let Err(cause) = setrlimit(Resource::Nofile, limit) {
-            tracing::warn!(%cause, "the limit of descriptors stays as it is");
+            tracing::warn!(%cause, "cannot raise the file descriptor limit");
         }
     }
     descriptors()
@@ -90,11 +91,11 @@
 }
 
 thread_local! {
-    /// Connections open on all listeners of this thread, on which a process has them all.
+    /// Connections open on all listeners of this thread. A process runs all its listeners on one thread.
     static OPEN_CONNECTIONS: Cell<usize> = const { Cell::new(0) };
 }
 
-/// One connection's slot, given back when dropped.
+/// A reserved connection slot, released when dropped.
 struct ConnectionSlot;
 
 impl ConnectionSlot {
@@ -113,8 +114,9 @@
     }
 }
 
-/// Accepts connections until the task is dropped, and hands each stream to `handle_connection`: as many at once as the
-/// process has descriptors for. The next get 503, and the log says so once; so it does of accepts that fail.
+/// Accepts connections until the task is dropped and passes each stream to `handle_connection`. The number of open
+/// connections is limited by the process's file descriptors; connections over the limit get 503. The first refused
+/// connection or failed accept is logged, and then nothing until connections are accepted again.
 pub async fn accept<F: Future<Output = ()> + 'static>(
     listener: TcpListener,
     handle_connection: impl Fn(TcpStream) -> F,
@@ -134,7 +136,7 @@
             Ok((stream, _)) => stream,
             Err(cause) => {
                 if !std::mem::replace(&mut reported, true) {
-                    tracing::warn!(%cause, "connections are not accepted");
+                    tracing::warn!(%cause, "cannot accept connections");
                 }
                 after_failed_accept(&cause).await;
                 continue;
@@ -143,7 +145,7 @@
         let _ = stream.set_nodelay(true);
         if let Some(slot) = ConnectionSlot::take(most) {
             if std::mem::replace(&mut reported, false) {
-                tracing::info!("connections are accepted again");
+                tracing::info!("accepting connections again");
             }
             let handle_connection = handle_connection(stream);
             tokio::task::spawn_local(async move {
@@ -153,10 +155,7 @@
             continue;
         }
         if !std::mem::replace(&mut reported, true) {
-            tracing::warn!(
-                most,
-                "the limit of descriptors allows no more connections; callers get 503"
-            );
+            tracing::warn!(most, "file descriptor limit reached; refusing connections with 503");
         }
         if Rc::strong_count(&refusals) <= MAX_CONCURRENT_REFUSALS {
             let refusal = refusals.clone();
@@ -168,7 +167,7 @@
     }
 }
 
-/// Answers a caller over the limit.
+/// Answers the first request of a connection over the limit with 503.
 async fn refuse(stream: TcpStream, most: usize) -> Result<(), hyper::Error> {
     let service = service_fn(|_| async move {
         let cause = format!("{most} connections are open, and no more are allowed");
@@ -182,7 +181,7 @@
         .await
 }
 
-/// A server for one connection: bounded heads, and bounded time for each.
+/// An HTTP/1.1 connection builder that limits the size of request heads and the time to read one.
 pub fn connection() -> http1::Builder {
     let mut builder = http1::Builder::new();
     builder
@@ -192,8 +191,8 @@
     builder
 }
 
-/// Answers calls until the task is dropped. A body over `limit` of its path, in bytes, gets 413 and one that breaks
-/// off 400, without `answer` being asked.
+/// Serves calls until the task is dropped. `limit` gives the largest body for a path, in bytes. A larger body gets
+/// 413 and a truncated one 400, in both cases without calling `answer`.
 pub async fn serve<A, F>(listener: TcpListener, limit: fn(&str) -> usize, answer: A)
 where
     A: Fn(Call) -> F + 'static,
@@ -222,34 +221,34 @@
             });
             let served = connection().serve_connection(TokioIo::new(Socket::new(stream)), service);
             if let Err(cause) = served.await {
-                tracing::debug!(%cause, "a call");
+                tracing::debug!(%cause, "connection of a call failed");
             }
         }
     })
     .await;
 }
 
-/// Why a call got no whole answer. Unless it is [`CallError::Connect`], it may have been carried out.
+/// Why a call got no complete answer. Except for [`CallError::Connect`], the call may have been carried out.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No connection: it was not made.
+    /// No connection could be made, so the call was not sent.
     #[error("{0}: connect: {1}")]
     Connect(SocketAddr, std::io::Error),
-    /// The connection broke, or what came is no HTTP.
+    /// The connection failed, or the answer is not valid HTTP.
     #[error("{0}: {1}")]
     Http(SocketAddr, hyper::Error),
-    /// The answer is too long or broke off.
+    /// The body of the answer is too long or truncated.
     #[error("{0}: the answer: {1}")]
     Body(SocketAddr, Box<dyn std::error::Error + Send + Sync>),
-    /// The request can't be made.
+    /// The request could not be built.
     #[error("{0}: {1}")]
     Request(SocketAddr, hyper::http::Error),
-    /// No answer in time.
+    /// No answer within the time allowed.
     #[error("{0}: no answer within {1:?}")]
     Silent(SocketAddr, Duration),
 }
 
-/// A connection that calls are made on, one at a time.
+/// A persistent connection to one address, for calls one at a time.
 pub struct PersistentConnection {
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
@@ -257,10 +256,10 @@
 }
 
 impl PersistentConnection {
-    /// Connects.
+    /// Connects to `address`.
     ///
     /// # Errors
-    /// [`CallError`].
+    /// [`CallError::Connect`] or [`CallError::Http`].
     pub async fn open(address: SocketAddr) -> Result<Self, CallError> {
         let connect = |cause| CallError::Connect(address, cause);
         let stream = TcpStream::connect(address).await.map_err(connect)?;
@@ -275,10 +274,10 @@
         Ok(Self { address, sender, _connection: AbortOnDrop(task) })
     }
 
-    /// One call; the answer's status and body, of at most `most` bytes.
+    /// Makes a call and returns the status and body of the answer. The body may have at most `most` bytes.
     ///
     /// # Errors
-    /// [`CallError`]; the line is of no more use.
+    /// [`CallError`]; the connection must not be used again.
     pub async fn ask(
         &mut self,
         method: Method,
@@ -302,10 +301,10 @@
     }
 }
 
-/// One call on a connection of its own; the answer's status and body, of at most 16 MiB.
+/// Makes a call on a new connection and returns the status and body of the answer. The body may have at most 16 MiB.
 ///
 /// # Errors
-/// [`CallError`].
+/// [`CallError`]; [`CallError::Silent`] if the call takes longer than `within`.
 pub async fn ask(
     address: SocketAddr,
     method: Method,
--- a/src/calls/tests.rs
+++ b/src/calls/tests.rs
@@ -26,11 +26,11 @@
         let start = std::time::Instant::now();
         loop {
             let mut stream = TcpStream::connect(address).await.expect("connected");
-            // One that is refused hears nothing before it has asked.
+            // A refused connection receives nothing until it sends a request.
             if timeout(Duration::from_millis(100), stream.read_u16()).await.is_ok() {
                 break;
             }
-            assert!(start.elapsed() < within, "its place is not given back");
+            assert!(start.elapsed() < within, "the slot of the closed connection is not released");
         }
     };
     tokio::task::LocalSet::new().run_until(served).await;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,13 @@
-//! hollowpaddle decides for an HTTP load balancer that runs as a bank of proxies.
+//! The decision logic and the roles of an HTTP/1.1 load balancer that runs as a fleet of proxies.
 //!
-//! Each proxy owns one [`policy::Balancer`], tells it what happens, and carries out
-//! the [`interface::Action`]s it answers with. The module does no I/O and reads no clock.
+//! Each proxy owns one [`policy::Balancer`], passes events to it, and carries out the [`interface::Action`]s that it
+//! returns. The policy does no I/O and reads no clock.
 //!
-//! Beside the proxy the same program runs other roles, each a module here that the binary only wires up:
-//! the list service ([`discovery`]) on its replicated state ([`replica`]) and durable store ([`store`]), duties
-//! that one process holds at a time ([`lease`]), staged releases ([`release`]), a stand-in upstream
-//! ([`stand_in`]) and hollow balancers and upstreams for rehearsals ([`hollow`]). [`cli`], [`configuration`], [`logging`], [`figures`] and [`calls`] are shared by all of them.
+//! The same program also runs other roles. Each is implemented by a module here; the binary only starts it: the list
+//! service ([`discovery`]) with its replicated state ([`replica`]) and durable store ([`store`]), duties that one
+//! process holds at a time ([`lease`]), staged releases ([`release`]), a stand-in upstream ([`stand_in`]), and
+//! simulated balancers and upstreams for rehearsals at scale ([`hollow`]). [`cli`], [`configuration`], [`logging`],
+//! [`figures`] and [`calls`] are shared by all of them.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -34,7 +35,7 @@
 pub mod store;
 pub mod tasks;
 
-/// The README's example, compiled as a doc test.
+/// Compiles the README's example as a doc test.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 pub struct Readme;
--- a/src/logging/mod.rs
+++ b/src/logging/mod.rs
@@ -1,14 +1,14 @@
-//! Log lines to standard error through `tracing-subscriber`, as text or as JSON.
+//! Logging to standard error through `tracing-subscriber`, as text or JSON.
 
 use tracing::Level;
 
 use crate::cli::{LogFormat, LogLevel};
 
-/// Installs the subscriber for the whole process and enters a span that names it, so that every line
-/// carries `process` and `role`. The span stays entered for as long as the returned guard lives; on a
-/// current-thread runtime that covers every task, for none of them leaves it.
+/// Installs the process-wide subscriber and enters a span that adds `process` and `role` to every log line. The span
+/// stays entered until the returned guard is dropped. On a current-thread runtime it covers every task, since all
+/// tasks run on the thread that entered it and none exits it.
 ///
-/// Call once, first thing; a second call finds a subscriber in place and only enters the span.
+/// Call this once, at the start of the process. A second call keeps the installed subscriber and only enters the span.
 pub fn init(
     format: LogFormat,
     level: LogLevel,
