--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,8 +1,8 @@
-//! The command line of the one program: a subcommand for each role, `proxy` when none is named.
+//! The command line: one subcommand for each role, with `proxy` as the default.
 //!
-//! `run` in the deploy file starts the program with no arguments, so that must stay the proxy exactly as
-//! PROTOCOL and DEPLOY describe it: settings from the JSON file that `LB_CONFIG` names and the `LB_*`
-//! variables. Every other role takes a TOML file ([`crate::configuration`]).
+//! The deployment starts the program without arguments, so the default must remain the proxy as PROTOCOL and DEPLOY
+//! describe it, configured by the JSON file named in `LB_CONFIG` and by the `LB_*` variables. The other roles with a
+//! configuration file read TOML ([`crate::configuration`]).
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,12 +11,12 @@
 
 use crate::discovery::member;
 
-/// Exit code of a configuration that was refused, as for a command line that was (clap's own).
+/// Exit code for an invalid configuration; the same as clap's for an invalid command line.
 pub const EXIT_CONFIG: u8 = 2;
-/// Exit code of a release that was rolled back.
+/// Exit code for a release that was rolled back.
 pub const EXIT_ROLLED_BACK: u8 = 3;
 
-/// The whole command line.
+/// The parsed command line.
 #[derive(Debug, Parser)]
 #[command(
     name = "hollowpaddle",
@@ -24,106 +24,107 @@
     about = "An HTTP/1.1 load balancer run as a bank of proxies"
 )]
 pub struct Cli {
-    /// How log lines are written to standard error: `text` for people, `json` for machines (one object a
-    /// line, with the process's name and role).
+    /// Format of log lines on standard error: `text`, or `json` (one object per line, with the process's name and
+    /// role).
     #[arg(long, value_enum, env = "LB_LOG_FORMAT", default_value_t = LogFormat::Text, global = true)]
     pub log_format: LogFormat,
-    /// The least weighty lines that are written. `debug` has a line for each request that is taken, sent, answered or
-    /// given up, with its reason: for a search, not for service.
+    /// Minimum level of log lines. `debug` logs every request as it is accepted, sent, answered or abandoned, with the
+    /// reason; use it for troubleshooting, not in production.
     #[arg(long, value_enum, env = "LB_LOG_LEVEL", default_value_t = LogLevel::Info, global = true)]
     pub log_level: LogLevel,
-    /// The role; `proxy` when none is named.
+    /// The role to run (default: `proxy`).
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
-/// The form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum LogFormat {
-    /// `tracing`'s plain lines.
+    /// Plain text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// The least weighty log lines that are written.
+/// Minimum level of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum LogLevel {
-    /// What went wrong here.
+    /// Errors of this process.
     Error,
-    /// What may become trouble.
+    /// Conditions that may lead to errors.
     Warn,
-    /// What changed.
+    /// Changes of state.
     Info,
-    /// What became of each request.
+    /// The course of every request.
     Debug,
 }
 
-/// One role of the program.
+/// A role of the program.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// The balancer (the default). Reads the JSON file named by LB_CONFIG: name, listen, discovery,
+    /// Run the load balancer (the default). Reads the JSON file named by LB_CONFIG: name, listen, discovery,
     /// management, seed, limits {sockets, memory_mb}, known (the last list), settings. LB_NAME, LB_LISTEN,
     /// LB_DISCOVERY and LB_MANAGEMENT override the file. SIGTERM drains, SIGHUP rereads discovery.
     Proxy,
-    /// An instance of the list service: serves `GET /api/targets` and its watch (PROTOCOL, "Discovery"), and at its
-    /// management address takes members' registrations, operators' changes, and holders' leases.
+    /// Run an instance of the list service. Serves `GET /api/targets` and its watch (PROTOCOL, "Discovery"). The
+    /// management address accepts registrations of members, changes by operators, and leases of duties.
     Discovery(DiscoveryArgs),
-    /// A staged release of upstreams or of balancers.
+    /// Run or control a staged release of upstreams or balancers.
     #[command(subcommand)]
     Release(ReleaseCommand),
-    /// Removes members that have drained for long enough, from the list; of several such processes, the one that
-    /// holds the duty `sweep` does.
+    /// Remove members from the list once they have drained long enough. Of several such processes, only the one that
+    /// holds the duty `sweep` is active.
     Sweep(SweepArgs),
-    /// A stand-in upstream that answers every request with its own name; for trials and tests.
+    /// Run a stand-in upstream that answers every request with its own name, for experiments and tests.
     StandIn(StandInArgs),
-    /// Hollow balancers and upstreams, many to a process, for rehearsals of a size: the real list client, module and
-    /// registration, without connections of clients or to upstreams. Takes a TOML file (see `examples/hollow.toml`).
+    /// Run many simulated balancers and upstreams in one process, to rehearse large fleets. They use the real list
+    /// client, policy and registration, but accept no client connections and open none to upstreams. Reads a TOML file
+    /// (see `examples/hollow.toml`).
     Hollow(RoleArgs),
-    /// Checks a configuration file or a state directory and exits: 0 when it would be taken, 2 with the key or the
-    /// offset at fault when not. Of a state directory it prints what it holds.
+    /// Check a configuration file or a state directory. Exits with 0 if it is valid, and with 2 and the invalid key or
+    /// offset if not. For a state directory, prints a summary of its contents.
     Check(CheckArgs),
 }
 
-/// What a role configured by a TOML file takes.
+/// Arguments of a role that is configured by a TOML file.
 #[derive(Debug, clap::Args)]
 pub struct RoleArgs {
-    /// The TOML file of this role (see `examples/`).
+    /// TOML configuration file of this role (see `examples/`).
     #[arg(long, short)]
     pub config: PathBuf,
 }
 
-/// What the list service takes.
+/// Arguments of the list service.
 #[derive(Debug, clap::Args)]
 pub struct DiscoveryArgs {
-    /// The TOML file (see `examples/discovery.toml`): listen, management, id, peers, state_dir, max_log_bytes,
+    /// TOML configuration file (see `examples/discovery.toml`): listen, management, id, peers, state_dir, max_log_bytes,
     /// snapshot_bytes, election_ms, heartbeat_ms, history, start_revision, members.
     #[arg(long, short)]
     pub config: PathBuf,
-    /// Opens a corrupt state directory with what was good before the corrupt record, from the last good snapshot
-    /// on; what is corrupt is kept under `.corrupt`. Without it such a directory is refused.
+    /// Open a corrupt state directory with the last good snapshot and the records up to the corrupt one. The corrupt
+    /// data is saved under `.corrupt`. Without this flag, a corrupt directory is an error.
     #[arg(long)]
     pub restore_last_good: bool,
 }
 
-/// What is to be done about a release.
+/// Commands of a release.
 #[derive(Debug, Subcommand)]
 pub enum ReleaseCommand {
-    /// Carries the plan out, from where its state directory says that it stands. Exits 0 when all is released, 3
-    /// when it was rolled back.
+    /// Execute the plan, continuing from the step stored in its state directory. Exits with 0 when the release is
+    /// complete and 3 when it was rolled back.
     Start(RoleArgs),
-    /// Prints a line for each stage.
+    /// Print a line for each stage.
     Status(RoleArgs),
-    /// Stops it where it is.
+    /// Halt the release at its current step.
     Halt(RoleArgs),
-    /// Lets a halted one go on.
+    /// Resume a halted release.
     Resume(RoleArgs),
-    /// Goes back to the old version.
+    /// Roll back to the old version.
     Rollback(RoleArgs),
 }
 
 impl ReleaseCommand {
-    /// The plan's file.
+    /// Path of the release plan.
     pub fn config(&self) -> &std::path::Path {
         match self {
             Self::Start(args)
@@ -135,45 +136,46 @@
     }
 }
 
-/// The sweep's settings.
+/// Arguments of the sweep.
 #[derive(Debug, clap::Args)]
 pub struct SweepArgs {
-    /// Management addresses of the list service's instances.
+    /// Management addresses of the list service instances.
     #[arg(long, value_delimiter = ',', required = true)]
     pub services: Vec<SocketAddr>,
-    /// The name that it holds the duty under; each process its own.
+    /// Name under which this process holds the duty; must be unique among the processes.
     #[arg(long)]
     pub holder: String,
     /// TTL of the duty, in milliseconds.
     #[arg(long, default_value_t = 3000, value_parser = clap::value_parser!(u64).range(50..=3_600_000))]
     pub ttl_ms: u64,
-    /// How long a member must have drained, as this process saw it, in milliseconds.
+    /// How long this process must have seen a member draining before it removes it, in milliseconds.
     #[arg(long, default_value_t = 60_000)]
     pub after_ms: u64,
-    /// Where its figures are to be had (`GET /metrics`, `GET /admin/health`).
+    /// Address that serves `GET /metrics` and `GET /admin/health`.
     #[arg(long, default_value = "127.0.0.1:0")]
     pub listen: SocketAddr,
 }
 
-/// The stand-in upstream's settings.
+/// Arguments of the stand-in upstream.
 #[derive(Debug, clap::Args)]
 pub struct StandInArgs {
-    /// Where it listens; port 0 takes a free one, told on standard error as `listening on ADDRESS`.
+    /// Address to listen on. With port 0 the system chooses a free port, logged to standard error as `listening on
+    /// ADDRESS`.
     #[arg(long, default_value = "127.0.0.1:0")]
     pub listen: SocketAddr,
-    /// What it answers with, and names itself by in logs and in the list.
+    /// Name sent in every answer and used in logs and in the list.
     #[arg(long, default_value = "stand-in")]
     pub name: String,
-    /// Milliseconds that each answer takes.
+    /// Delay of each answer, in milliseconds.
     #[arg(long, default_value_t = 0)]
     pub delay_ms: u64,
-    /// Answers one request in so many with 500; 0 none.
+    /// Answer every Nth request with 500; 0 disables errors.
     #[arg(long, default_value_t = 0)]
     pub error_every: u64,
-    /// Management addresses of list-service instances to register with.
+    /// Management addresses of the list service instances to register with; without any, it does not register.
     #[arg(long, value_delimiter = ',')]
     pub services: Vec<SocketAddr>,
-    /// The service that it registers in; without, in none.
+    /// Service to register in; empty for none.
     #[arg(long, default_value = "", value_parser = service)]
     pub service: String,
     /// TTL of the registration, in milliseconds.
@@ -185,36 +187,36 @@
     member::service_fault(name).map_or(Ok(name.to_owned()), Err)
 }
 
-/// What `check` is told.
+/// Arguments of `check`.
 #[derive(Debug, clap::Args)]
 #[command(group = clap::ArgGroup::new("what").required(true).args(["config", "state_dir"]))]
 pub struct CheckArgs {
-    /// The role whose file or state directory this is.
+    /// Role that the file or state directory belongs to.
     #[arg(long, value_enum)]
     pub role: Role,
-    /// The file: JSON for `proxy`, TOML for the others.
+    /// Configuration file to check: JSON for `proxy`, TOML for the other roles.
     #[arg(long, short)]
     pub config: Option<PathBuf>,
-    /// The state directory.
+    /// State directory to check.
     #[arg(long)]
     pub state_dir: Option<PathBuf>,
 }
 
-/// A role that has a configuration file and a state directory.
+/// A role with a configuration file and a state directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Role {
-    /// The balancer: its JSON file; its last list.
+    /// The load balancer: its JSON file, or its stored list.
     Proxy,
-    /// The list service: its TOML file; its log.
+    /// The list service: its TOML file, or its log.
     Discovery,
-    /// The release: its plan; its state.
+    /// The release: its plan, or its stored state.
     Release,
-    /// Hollow balancers and upstreams: their TOML file; each balancer's last list, as of a proxy.
+    /// Simulated balancers and upstreams: their TOML file, or the stored list of one balancer.
     Hollow,
 }
 
 impl Command {
-    /// The name of the role in logs.
+    /// The role's name in log lines; `proxy` without a subcommand.
     pub fn role(command: Option<&Self>) -> &'static str {
         match command {
             None | Some(Self::Proxy) => "proxy",
