--- a/src/roles/mod.rs
+++ b/src/roles/mod.rs
@@ -1,5 +1,5 @@
-//! The roles other than the proxy, each run to its end on a current-thread runtime: the binary parses the
-//! command line and calls one of these.
+//! The roles other than the proxy. The binary parses the command line and calls one of these functions, which runs the
+//! role to its end on a current-thread runtime.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -36,43 +36,43 @@
 use crate::store::log::{self, Contents};
 use crate::tasks::AbortOnDrop;
 
-/// How long an instance that stops waits for another to lead.
+/// How long a stopping instance waits for another instance to become leader.
 const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a member that stops tries to leave the list.
+/// How long a stopping member tries to remove itself from the list.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a role ended before it was told to.
+/// Why a role failed to start or ended early.
 #[derive(Debug, thiserror::Error)]
 pub enum RoleError {
     /// The runtime or the signal handlers could not be set up.
-    #[error("start: {0}")]
+    #[error("cannot start: {0}")]
     Start(std::io::Error),
-    /// The address was refused.
-    #[error("listen on {address}: {source}")]
+    /// Binding the listen address failed.
+    #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address asked for.
+        /// The configured address.
         address: SocketAddr,
-        /// What the system said.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// The configuration was refused.
+    /// The configuration is invalid.
     #[error("{0}")]
     Config(#[from] ConfigError),
-    /// The list service's instance did not start.
+    /// The list service instance could not start.
     #[error("{0}")]
     Host(#[from] HostError),
-    /// The release's state can't be had or kept.
+    /// The release's state could not be read or stored.
     #[error("{0}")]
     State(#[from] StateError),
-    /// The release has ended where it began.
+    /// The release was rolled back; the reason.
     #[error("rolled back: {0}")]
     RolledBack(String),
-    /// A call was refused.
+    /// A call or the role's setup was refused, or a release was stopped before its end.
     #[error("{0}")]
     Refused(String),
 }
 
-/// Binds `address`; the address bound tells the port where 0 was asked for.
+/// Binds `address` and returns the bound address, which has the actual port if port 0 was requested.
 async fn bind(address: SocketAddr) -> Result<(TcpListener, SocketAddr), RoleError> {
     let refused = |source| RoleError::Listen { address, source };
     let listener = TcpListener::bind(address).await.map_err(refused)?;
@@ -80,20 +80,20 @@
     Ok((listener, bound))
 }
 
-/// [`bind`], and logs `listening on ADDRESS`.
+/// Binds `address` as [`bind`] does and logs `listening on ADDRESS`.
 async fn listen(address: SocketAddr) -> Result<(TcpListener, SocketAddr), RoleError> {
     let (listener, bound) = bind(address).await?;
     tracing::info!("listening on {bound}");
     Ok((listener, bound))
 }
 
-/// Runs `role` on a current-thread runtime to its end.
+/// Runs `role` to its end on a current-thread runtime.
 fn run<T>(role: impl Future<Output = Result<T, RoleError>>) -> Result<T, RoleError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.map_err(RoleError::Start)?, role)
 }
 
-/// Runs `serving` until it ends, or until SIGTERM or SIGINT; then it is dropped, and `None` returned.
+/// Runs `serving` until it ends. On SIGTERM or SIGINT it drops `serving` and returns `None`.
 async fn until_stopped<T>(serving: impl Future<Output = T>) -> Result<Option<T>, RoleError> {
     let mut term = Signals::of(SignalKind::Terminate).map_err(RoleError::Start)?;
     let mut interrupt = Signals::of(SignalKind::Interrupt).map_err(RoleError::Start)?;
@@ -106,16 +106,16 @@
     Ok(None)
 }
 
-/// `discovery`: one instance of the list service.
+/// Runs the `discovery` role: one instance of the list service.
 ///
 /// # Errors
-/// [`RoleError`] where it can't start.
+/// [`RoleError`] if it cannot start.
 pub fn discovery(args: &DiscoveryArgs) -> Result<(), RoleError> {
     let config = DiscoveryConfig::load(&args.config)?;
     run(async move {
         let descriptors = crate::calls::raise_descriptor_limit();
-        tracing::info!(descriptors, "one is needed for each watch");
-        // Nothing is served before the state has been checked.
+        tracing::info!(descriptors, "file descriptor limit; each watch needs one descriptor");
+        // The stored state is checked before the instance serves anything.
         let recovery = match args.restore_last_good {
             true => Recovery::LastGoodSnapshot,
             false => Recovery::Strict,
@@ -153,10 +153,11 @@
     })
 }
 
-/// `stand-in`: an upstream that answers by its manner, and keeps itself in the list where it is told to.
+/// Runs the `stand-in` role: an upstream with configured behaviour, which keeps itself registered if list service
+/// instances are given.
 ///
 /// # Errors
-/// [`RoleError`] where it can't start.
+/// [`RoleError`] if it cannot start.
 pub fn stand_in(args: StandInArgs) -> Result<(), RoleError> {
     let ttl = Duration::from_millis(args.ttl_ms);
     let manner = Manner {
@@ -182,7 +183,7 @@
         let Ok(instances) = Instances::new(args.services) else {
             return until_stopped(serving).await.map(drop);
         };
-        // It serves until it is out of the list.
+        // It keeps serving until it has left the list.
         let listed = async {
             until_stopped(registration::keep(&instances, &member, ttl)).await?;
             registration::leave(&instances, &member, LEAVE_TIMEOUT).await;
@@ -195,24 +196,27 @@
     })
 }
 
-/// `check --role hollow`: reads the file, and what it names, as the role would.
+/// Runs `check --role hollow`: reads the configuration file and the files that it names, as the role does.
 ///
 /// # Errors
-/// [`RoleError::Config`].
+/// [`RoleError::Config`] if one of them is invalid.
 pub fn check_hollow(path: &Path) -> Result<(), RoleError> {
     HollowConfig::load(path)?.facts()?;
     Ok(())
 }
 
-/// `hollow`: hollow balancers and upstreams.
+/// Runs the `hollow` role: simulated balancers and upstreams.
 ///
 /// # Errors
-/// [`RoleError`] where it can't start.
+/// [`RoleError`] if it cannot start.
 pub fn hollow(args: &RoleArgs) -> Result<(), RoleError> {
     let config = HollowConfig::load(&args.config)?;
     run(async move {
         let descriptors = crate::calls::raise_descriptor_limit();
-        tracing::info!(descriptors, "each balancer takes one, and each call of an upstream");
+        tracing::info!(
+            descriptors,
+            "file descriptor limit; each balancer and each call of an upstream needs one"
+        );
         let address = config.management;
         let hollow = Hollow::new(config).map_err(|e| match e {
             HollowError::Config(error) => RoleError::Config(error),
@@ -223,10 +227,10 @@
     })
 }
 
-/// `sweep`: the duty of that name, and what it is for.
+/// Runs the `sweep` role: competes for the duty `sweep` and, while it holds it, removes drained members.
 ///
 /// # Errors
-/// [`RoleError`] where it can't start.
+/// [`RoleError`] if it cannot start.
 pub fn sweep(args: SweepArgs) -> Result<(), RoleError> {
     let ttl = Duration::from_millis(args.ttl_ms);
     let after = Duration::from_millis(args.after_ms);
@@ -238,10 +242,10 @@
     })
 }
 
-/// `release`: carries a plan out, or talks to the process that does.
+/// Runs the `release` role: executes a plan, or sends a command to the process that does.
 ///
 /// # Errors
-/// [`RoleError`]; [`RoleError::RolledBack`] where the release has ended on the old version.
+/// [`RoleError`]; [`RoleError::RolledBack`] if the release ended on the old version.
 pub fn release(command: &ReleaseCommand) -> Result<(), RoleError> {
     let plan = Plan::load(command.config())?;
     run(async {
@@ -254,7 +258,7 @@
                 return match until_stopped(release.run()).await?.transpose()? {
                     Some(Step::RolledBack { why }) => Err(RoleError::RolledBack(why)),
                     Some(_) => Ok(()),
-                    None => Err(RoleError::Refused("stopped; started again, it goes on".into())),
+                    None => Err(RoleError::Refused("stopped; start it again to continue".into())),
                 };
             }
             ReleaseCommand::Status(_) => None,
@@ -271,11 +275,11 @@
     })
 }
 
-/// `check --state-dir`: verifies every record of a role's state directory, changes nothing, and says in a line what
-/// it holds.
+/// Runs `check --state-dir`: verifies every record of a role's state directory without changing it, and returns a
+/// one-line summary of its contents.
 ///
 /// # Errors
-/// What is wrong with it, with the file and the offset.
+/// A description of the fault, with the file and the offset.
 pub fn check_state(role: Role, dir: &Path) -> Result<String, String> {
     if matches!(role, Role::Proxy | Role::Hollow) {
         let list = list_cache::read(dir).map_err(|e| e.to_string())?;
