--- a/benches/balancer.rs
+++ b/benches/balancer.rs
@@ -27,14 +27,14 @@
 use std::time::{Duration, Instant};
 
 use harness::{Cluster, Fleet, free, look, post, until};
-use measure::{Relay, memory, number, option, processor, share, side_by_side};
+use measure::{Relay, cpu_seconds, measure_cpu, memory_mb, number, option, run_in_parallel};
 use serde_json::{Value, json};
 
 const SIZES: [usize; 3] = [64, 1024, 6100];
 const STAND_INS: usize = 8;
 const BALANCERS: usize = 400;
 const ZONES: usize = 5;
-const START: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// How many of the services have upstreams: each that has some has one in every zone at least.
 fn populated(n: usize, services: usize) -> usize {
@@ -65,7 +65,7 @@
 }
 
 /// The file of a proxy that is one of 400.
-fn file(discovery: SocketAddr, services: usize, routes: usize, tenants: usize) -> Value {
+fn proxy_config(discovery: SocketAddr, services: usize, routes: usize, tenants: usize) -> Value {
     let text = include_str!("../examples/proxy.json");
     let mut file: Value = serde_json::from_str(text).expect("the example");
     let aim = number("aim", 2000) as f64;
@@ -92,13 +92,13 @@
         }
         let service = |i| json!({"name": format!("service-{i}"), "settings": settings});
         file["services"] = (0..services).map(service).collect();
-        file["routes"] = table(services, routes);
+        file["routes"] = route_table(services, routes);
     }
     file
 }
 
 /// Routes spread evenly over the services.
-fn table(services: usize, routes: usize) -> Value {
+fn route_table(services: usize, routes: usize) -> Value {
     let route = |i: usize| {
         let (host, prefix) = route(services, i);
         json!({"host": host, "prefix": prefix, "service": format!("service-{}", i % services)})
@@ -149,7 +149,7 @@
         let mut fleet = Fleet::default();
         let cluster = Cluster::start(&mut fleet, 1, &members(n, upstreams, services));
         let relay = Relay::to(cluster.lists[0]);
-        let text = file(relay.address, services, routes, tenants);
+        let text = proxy_config(relay.address, services, routes, tenants);
         let calls = text["management"].as_str().and_then(|a| a.parse().ok()).expect("an address");
         let name = format!("proxy-{n}-{routes}-{tenants}");
         let path = fleet.file(&format!("{name}.json"), &text.to_string());
@@ -158,7 +158,7 @@
         let pid = fleet.processes[proxy].pid();
         let list = cluster.calls[0];
         let bench = Self { fleet, n, services, routes, list, relay, proxy, config, pid, calls };
-        until("the whole list", START, || bench.size() == n);
+        until("the whole list", START_TIMEOUT, || bench.size() == n);
         bench
     }
 
@@ -190,11 +190,11 @@
     }
 
     /// Waits until the proxy has been told nothing more and spends nothing more than when it is quiet.
-    fn settled(&self, quiet: f64) {
-        let mut before = (self.relay.bytes().1, processor(self.pid));
-        until("settled", START, || {
+    fn wait_until_settled(&self, quiet: f64) {
+        let mut before = (self.relay.bytes().1, cpu_seconds(self.pid));
+        until("settled", START_TIMEOUT, || {
             sleep(Duration::from_millis(200));
-            let now = (self.relay.bytes().1, processor(self.pid));
+            let now = (self.relay.bytes().1, cpu_seconds(self.pid));
             let still = now.0 - before.0 < 64 && now.1 - before.1 < 0.2 * quiet + 0.01;
             before = now;
             still
@@ -202,7 +202,7 @@
     }
 }
 
-fn stand_ins(fleet: &mut Fleet) -> Vec<SocketAddr> {
+fn start_stand_ins(fleet: &mut Fleet) -> Vec<SocketAddr> {
     let start = |i| {
         let name = format!("stand-in-{i}");
         let at = fleet.start(&name, &["stand-in", "--name", &name], &[]);
@@ -213,29 +213,29 @@
 
 fn control(sizes: &[usize]) {
     let mut fleet = Fleet::default();
-    let upstreams = stand_ins(&mut fleet);
+    let upstreams = start_stand_ins(&mut fleet);
     let mut all: Vec<Bench> = sizes.iter().map(|n| Bench::start(*n, &upstreams, 0)).collect();
     let at = |figures: &[f64]| -> Vec<(f64, f64)> {
         sizes.iter().zip(figures).map(|(n, y)| (*n as f64, *y)).collect()
     };
-    let line = |what, unit, figures: &[f64]| measure::line(what, unit, &at(figures));
+    let line = |what, unit, figures: &[f64]| measure::print_scaling(what, unit, &at(figures));
     for bench in &all {
         let start = bench.relay.bytes();
         println!(
             "start, {} members: {} B of list, {:.1} ms of processor time, {:.1} MB",
             bench.n,
             start.1,
-            processor(bench.pid) * 1e3,
-            memory(bench.pid, "VmRSS")
+            cpu_seconds(bench.pid) * 1e3,
+            memory_mb(bench.pid, "VmRSS")
         );
     }
     sleep(Duration::from_secs(2));
 
     // Quiet: nothing comes but heartbeats. All sizes at once, for the machine has a core for each.
     let seconds = number("seconds", 8) as f64;
-    let before: Vec<_> = all.iter().map(|b| (processor(b.pid), b.relay.bytes())).collect();
+    let before: Vec<_> = all.iter().map(|b| (cpu_seconds(b.pid), b.relay.bytes())).collect();
     sleep(Duration::from_secs_f64(seconds));
-    let spent = |(b, (cpu, _)): (&Bench, &(f64, _))| (processor(b.pid) - cpu) / seconds;
+    let spent = |(b, (cpu, _)): (&Bench, &(f64, _))| (cpu_seconds(b.pid) - cpu) / seconds;
     let quiet: Vec<f64> = all.iter().zip(&before).map(spent).collect();
     let bytes = |(b, (_, at)): (&Bench, &(f64, (u64, u64)))| {
         let now = b.relay.bytes();
@@ -244,14 +244,14 @@
     let beats: Vec<f64> = all.iter().zip(&before).map(bytes).collect();
     line("quiet", "% of a core", &quiet.iter().map(|q| q * 100.0).collect::<Vec<_>>());
     line("quiet, both ways", "B/s", &beats);
-    line("memory, quiet", "MB", &all.iter().map(|b| memory(b.pid, "VmRSS")).collect::<Vec<_>>());
+    line("memory, quiet", "MB", &all.iter().map(|b| memory_mb(b.pid, "VmRSS")).collect::<Vec<_>>());
 
     // One change after the other, each told alone.
     let (mut cost, mut told) = (Vec::new(), Vec::new());
     const CHANGES: usize = 60;
     for (bench, quiet) in all.iter().zip(&quiet) {
         let from = bench.relay.bytes().1;
-        let (spent, took, ()) = share(bench.pid, || {
+        let (spent, took, ()) = measure_cpu(bench.pid, || {
             for i in 0..CHANGES {
                 set_phase(bench.list, i / 2, if i % 2 == 0 { "DRAINING" } else { "SERVING" });
                 sleep(Duration::from_millis(25));
@@ -267,13 +267,13 @@
     let (mut cost, mut took, mut told) = (Vec::new(), Vec::new(), Vec::new());
     for (bench, quiet) in all.iter().zip(&quiet) {
         let (from, zone, list) = (bench.relay.bytes().1, bench.zone(), bench.list);
-        let before = processor(bench.pid);
+        let before = cpu_seconds(bench.pid);
         let (begin, mut written) = (Instant::now(), Duration::ZERO);
         for phase in ["DRAINING", "SERVING"] {
-            written += side_by_side(8, zone.len(), |i| set_phase(list, zone[i], phase));
+            written += run_in_parallel(8, zone.len(), |i| set_phase(list, zone[i], phase));
         }
-        bench.settled(*quiet);
-        let spent = processor(bench.pid) - before - quiet * begin.elapsed().as_secs_f64();
+        bench.wait_until_settled(*quiet);
+        let spent = cpu_seconds(bench.pid) - before - quiet * begin.elapsed().as_secs_f64();
         cost.push(spent * 1e3 / 2.0);
         told.push((bench.relay.bytes().1 - from) as f64 / 2.0);
         took.push(written.as_secs_f64() / 2.0);
@@ -287,26 +287,26 @@
     const WHOLE: usize = 8;
     for (bench, quiet) in all.iter().zip(&quiet) {
         let from = bench.relay.bytes().1;
-        let (spent, took, ()) = share(bench.pid, || {
+        let (spent, took, ()) = measure_cpu(bench.pid, || {
             for _ in 0..WHOLE {
                 bench.fleet.hang_up(bench.proxy);
                 sleep(Duration::from_millis(300));
             }
-            bench.settled(*quiet);
+            bench.wait_until_settled(*quiet);
         });
         cost.push((spent - quiet * took) * 1e3 / WHOLE as f64);
         told.push((bench.relay.bytes().1 - from) as f64 / WHOLE as f64);
     }
     line("a whole list, processor time", "ms", &cost);
     line("a whole list", "B", &told);
-    let peak = |b: &Bench| memory(b.pid, "VmHWM");
+    let peak = |b: &Bench| memory_mb(b.pid, "VmHWM");
     line("memory, at most by then", "MB", &all.iter().map(peak).collect::<Vec<_>>());
 
     // What operators and releases read, and what it costs the release's controller to take in.
     let (mut cost, mut size, mut taken) = (Vec::new(), Vec::new(), Vec::new());
     const SCRAPES: usize = 3;
     for (bench, quiet) in all.iter().zip(&quiet) {
-        let (spent, took, text) = share(bench.pid, || {
+        let (spent, took, text) = measure_cpu(bench.pid, || {
             let scrape =
                 |_| harness::get(bench.calls, "/metrics", &[]).map_or_else(String::new, |a| a.1);
             (0..SCRAPES).map(scrape).max_by_key(String::len).unwrap_or_default()
@@ -322,14 +322,14 @@
     line("a scrape of /metrics, processor time", "ms", &cost);
     line("a scrape of /metrics", "B", &size);
     line("memory, at most by then", "MB", &all.iter().map(peak).collect::<Vec<_>>());
-    line("memory, then", "MB", &all.iter().map(|b| memory(b.pid, "VmRSS")).collect::<Vec<_>>());
+    line("memory, then", "MB", &all.iter().map(|b| memory_mb(b.pid, "VmRSS")).collect::<Vec<_>>());
 
     // Members replaced by others: what is left of those that are gone.
     let replaced = number("replaced", 1000);
     let Some(bench) = all.last() else { return };
-    let before = memory(bench.pid, "VmRSS");
+    let before = memory_mb(bench.pid, "VmRSS");
     let list = bench.list;
-    side_by_side(8, replaced, |i| {
+    run_in_parallel(8, replaced, |i| {
         let id = format!("t-{i:08x}");
         let answer =
             post(list, "/admin/members", &harness::member(&id, upstreams[i % upstreams.len()]));
@@ -338,12 +338,12 @@
         let answer = post(list, "/admin/members/leave", &body);
         assert_eq!(answer.map(|a| a.0), Some(200));
     });
-    bench.settled(1.0);
-    let (spent, took, ()) = share(bench.pid, || sleep(Duration::from_secs(4)));
+    bench.wait_until_settled(1.0);
+    let (spent, took, ()) = measure_cpu(bench.pid, || sleep(Duration::from_secs(4)));
     println!(
         "{replaced} members come and gone, {} members: {:.2} MB more, quiet {:.3}% of a core ({:.3}% before)",
         bench.n,
-        memory(bench.pid, "VmRSS") - before,
+        memory_mb(bench.pid, "VmRSS") - before,
         spent / took * 100.0,
         quiet.last().copied().unwrap_or(0.0) * 100.0
     );
@@ -354,12 +354,12 @@
         let (from, calls) = (Instant::now(), free());
         let env = [("LB_CONFIG", bench.config.as_str()), ("LB_MANAGEMENT", &calls.to_string())];
         bench.fleet.start(&format!("next-{}", bench.n), &[], &env);
-        until("ready", START, || {
+        until("ready", START_TIMEOUT, || {
             harness::get(calls, "/admin/health", &[]).is_some_and(|a| a.0 == 200)
         });
         took[0].push(from.elapsed().as_secs_f64() * 1e3);
         bench.fleet.stop(bench.proxy);
-        bench.fleet.ended(bench.proxy, START);
+        bench.fleet.ended(bench.proxy, START_TIMEOUT);
         took[1].push(from.elapsed().as_secs_f64() * 1e3);
     }
     line("a takeover, until ready", "ms", &took[0]);
@@ -367,7 +367,7 @@
 }
 
 /// One answer read from a connection; whether it is whole.
-fn answered(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<u16> {
+fn read_status(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<u16> {
     buffer.clear();
     let mut piece = [0; 4096];
     loop {
@@ -407,13 +407,13 @@
 }
 
 #[derive(Default)]
-struct Driven {
+struct LoadResult {
     /// Those that were answered 200.
     answered: Vec<Sample>,
     failed: usize,
 }
 
-impl Driven {
+impl LoadResult {
     /// A figure of the requests that were due while `when` holds, sorted.
     fn sorted(&self, when: impl Fn(f64) -> bool, figure: impl Fn(&Sample) -> f64) -> Vec<f64> {
         let asked = self.answered.iter().filter(|s| when(s.due));
@@ -424,17 +424,17 @@
 }
 
 /// Requests with exponential gaps by so many clients, the first at the first address and so on.
-fn drive(
+fn run_load(
     at: &[SocketAddr],
-    kept: bool,
+    keep_alive: bool,
     target: &(dyn Fn(&mut oorandom::Rand64) -> (String, String) + Sync),
     header: &str,
     seconds: f64,
     seed: usize,
-) -> Driven {
+) -> LoadResult {
     let clients = number("clients", 32);
     let rate = number("rate", 300) as f64 / clients as f64;
-    let driven = Mutex::new(Driven::default());
+    let driven = Mutex::new(LoadResult::default());
     thread::scope(|s| {
         for c in 0..clients {
             let driven = &driven;
@@ -448,7 +448,7 @@
                         break;
                     }
                     let (host, path) = target(&mut random);
-                    let close = if kept { "" } else { "Connection: close\r\n" };
+                    let close = if keep_alive { "" } else { "Connection: close\r\n" };
                     let request = format!(
                         "GET {path} HTTP/1.1\r\nHost: {host}\r\nX-Class: read\r\nX-Deadline-Ms: 2000\r\n\
                          X-Request-Id: r-{seed}-{c}-{i}\r\n{header}{close}\r\n"
@@ -462,7 +462,7 @@
                     };
                     let status = stream.as_mut().and_then(|stream| {
                         stream.write_all(request.as_bytes()).ok()?;
-                        answered(stream, &mut buffer)
+                        read_status(stream, &mut buffer)
                     });
                     match status {
                         Some(200) => answered_here.push(Sample {
@@ -472,7 +472,7 @@
                         }),
                         _ => failed += 1,
                     }
-                    held = stream.filter(|_| kept && status.is_some());
+                    held = stream.filter(|_| keep_alive && status.is_some());
                 }
                 let mut driven = driven.lock().expect("samples");
                 driven.answered.extend(answered_here);
@@ -483,8 +483,8 @@
     driven.into_inner().expect("samples")
 }
 
-fn at(times: &[f64], part: f64) -> f64 {
-    times.get(((times.len().max(1) - 1) as f64 * part) as usize).copied().unwrap_or(f64::NAN)
+fn percentile(times: &[f64], quantile: f64) -> f64 {
+    times.get(((times.len().max(1) - 1) as f64 * quantile) as usize).copied().unwrap_or(f64::NAN)
 }
 
 /// The mean of the repeats, and between which they lie.
@@ -496,7 +496,7 @@
 }
 
 /// How many upstreams have served something, and how many attempts.
-fn used(bench: &Bench) -> (usize, f64) {
+fn used_upstreams(bench: &Bench) -> (usize, f64) {
     let (_, text) = harness::get(bench.calls, "/metrics", &[]).unwrap_or_default();
     let served = |l: &&str| l.starts_with("upstream_attempts_total") && l.contains("served");
     let counts = text.lines().filter(served).filter_map(|l| l.rsplit(' ').next()?.parse().ok());
@@ -540,7 +540,7 @@
         if changes == Changes::Single {
             return set_phase(bench.list, zone[i / 2 % zone.len()], phase);
         }
-        let took = side_by_side(8, zone.len(), |i| set_phase(bench.list, zone[i], phase));
+        let took = run_in_parallel(8, zone.len(), |i| set_phase(bench.list, zone[i], phase));
         wrote.push(took.as_secs_f64() * 1e3);
     };
     let mut drained = None;
@@ -550,7 +550,7 @@
         write(i, if drained.is_some() { "DRAINING" } else { "SERVING" });
     }
     if let Some(i) = drained {
-        until("the drive is over", START, || over.load(Ordering::Relaxed));
+        until("the drive is over", START_TIMEOUT, || over.load(Ordering::Relaxed));
         write(i, "SERVING");
     }
     wrote
@@ -560,27 +560,28 @@
 /// adds is added to all of them.
 fn requests(sizes: &[usize]) {
     let mut fleet = Fleet::default();
-    let upstreams = stand_ins(&mut fleet);
+    let upstreams = start_stand_ins(&mut fleet);
     let all: Vec<Bench> = sizes.iter().map(|n| Bench::start(*n, &upstreams, 0)).collect();
     let seconds = number("seconds", 12) as f64;
     let direct = |_: &mut oorandom::Rand64| ("a".to_owned(), "/api/stock".to_owned());
     // A new proxy's first requests are another matter (docs/open.md).
-    for (round, kept) in [true, false].into_iter().enumerate() {
+    for (round, keep_alive) in [true, false].into_iter().enumerate() {
         thread::scope(|s| {
             for bench in &all {
                 s.spawn(move || {
                     let target = |r: &mut _| bench.target(r);
-                    let driven = drive(&[bench.address()], kept, &target, "", 3.0, 100 + round);
+                    let driven =
+                        run_load(&[bench.address()], keep_alive, &target, "", 3.0, 100 + round);
                     println!("{} members, before it counts: {} not 200", bench.n, driven.failed);
                 });
             }
         });
     }
     for changes in [Changes::None, Changes::Single, Changes::Zone] {
-        for kept in [true, false] {
+        for keep_alive in [true, false] {
             let what = format!(
                 "{}, {}",
-                if kept { "kept connections" } else { "new connections" },
+                if keep_alive { "kept connections" } else { "new connections" },
                 match changes {
                     Changes::None => "quiet",
                     Changes::Single => "a change a second",
@@ -593,8 +594,10 @@
             for repeat in 0..number("repeats", 3) {
                 sleep(Duration::from_millis(500));
                 let over = AtomicBool::new(false);
-                let before: Vec<_> =
-                    all.iter().map(|b| (processor(b.pid), measure::waited(b.pid))).collect();
+                let before: Vec<_> = all
+                    .iter()
+                    .map(|b| (cpu_seconds(b.pid), measure::runnable_wait_seconds(b.pid)))
+                    .collect();
                 let from = Instant::now();
                 let (base, driven) = thread::scope(|s| {
                     let (over, direct, upstreams) = (&over, &direct, &upstreams);
@@ -603,15 +606,18 @@
                         .enumerate()
                         .map(|(place, b)| s.spawn(move || change(b, changes, place, seconds, over)))
                         .collect();
-                    let base =
-                        s.spawn(move || drive(upstreams, kept, direct, "", seconds, repeat * 10));
+                    let base = s.spawn(move || {
+                        run_load(upstreams, keep_alive, direct, "", seconds, repeat * 10)
+                    });
                     let driven: Vec<_> = all
                         .iter()
                         .enumerate()
                         .map(|(place, b)| {
                             let target = |r: &mut _| b.target(r);
                             let seed = repeat * 10 + 1 + place;
-                            s.spawn(move || drive(&[b.address()], kept, &target, "", seconds, seed))
+                            s.spawn(move || {
+                                run_load(&[b.address()], keep_alive, &target, "", seconds, seed)
+                            })
                         })
                         .collect();
                     let base = base.join().expect("driven");
@@ -627,24 +633,24 @@
                     (base, driven)
                 });
                 let took = from.elapsed().as_secs_f64();
-                let tell = |who: &str, driven: &Driven| {
+                let tell = |who: &str, driven: &LoadResult| {
                     let sent = driven.sorted(|_| true, |s| s.took);
                     let due = driven.sorted(|_| true, Sample::since_due);
                     let late = driven.sorted(|_| true, |s| s.late);
                     println!(
                         "{what}, {who}: p50 {:.2}, p99 {:.2}, most {:.2} ms; since due p99 {:.2}; client late by {:.2}, \
                          p99 {:.2}, most {:.2}; {} answered, {} not",
-                        at(&sent, 0.5),
-                        at(&sent, 0.99),
-                        at(&sent, 1.0),
-                        at(&due, 0.99),
-                        at(&late, 0.5),
-                        at(&late, 0.99),
-                        at(&late, 1.0),
+                        percentile(&sent, 0.5),
+                        percentile(&sent, 0.99),
+                        percentile(&sent, 1.0),
+                        percentile(&due, 0.99),
+                        percentile(&late, 0.5),
+                        percentile(&late, 0.99),
+                        percentile(&late, 1.0),
                         sent.len(),
                         driven.failed
                     );
-                    [at(&sent, 0.5), at(&sent, 0.99), at(&due, 0.99)]
+                    [percentile(&sent, 0.5), percentile(&sent, 0.99), percentile(&due, 0.99)]
                 };
                 let base_told = tell("direct", &base);
                 beside[0].push(base_told[0]);
@@ -659,13 +665,13 @@
                         let near = |due: f64| times.iter().any(|t| (*t..*t + 1e3).contains(&due));
                         let [near, base] =
                             [&driven[place], &base].map(|d| d.sorted(near, |s| s.took));
-                        added[place][3].push(at(&near, 0.99) - at(&base, 0.99));
+                        added[place][3].push(percentile(&near, 0.99) - percentile(&base, 0.99));
                     }
                     let (spent, waited) = before[place];
                     println!(
                         "  {:.1}% of a core; {:.2}% of the time ready to run and not running",
-                        (processor(bench.pid) - spent) / took * 100.0,
-                        (measure::waited(bench.pid) - waited) / took * 100.0
+                        (cpu_seconds(bench.pid) - spent) / took * 100.0,
+                        (measure::runnable_wait_seconds(bench.pid) - waited) / took * 100.0
                     );
                 }
             }
@@ -686,21 +692,21 @@
             let mean = |f: &[f64]| f.iter().sum::<f64>() / f.len() as f64;
             let points: Vec<_> =
                 all.iter().zip(&added).map(|(b, a)| (b.n as f64, mean(&a[1]))).collect();
-            measure::line(&format!("= {what}, added at p99"), "ms", &points);
+            measure::print_scaling(&format!("= {what}, added at p99"), "ms", &points);
         }
     }
     for bench in &all {
-        let (upstreams, attempts) = used(bench);
+        let (upstreams, attempts) = used_upstreams(bench);
         println!(
             "{} members: {attempts} attempts at {upstreams} of them; {:.1} MB at most",
             bench.n,
-            memory(bench.pid, "VmHWM")
+            memory_mb(bench.pid, "VmHWM")
         );
     }
 }
 
 /// Answers one after the other on one connection for so long: when each was whole, and how many were not 200.
-fn one_by_one(bench: &Bench, seconds: f64) -> (Vec<Instant>, usize) {
+fn request_sequentially(bench: &Bench, seconds: f64) -> (Vec<Instant>, usize) {
     let (begin, mut random) = (Instant::now(), oorandom::Rand64::new(7));
     let (mut times, mut failed, mut held, mut buffer) = (Vec::new(), 0, None, Vec::new());
     while begin.elapsed().as_secs_f64() < seconds {
@@ -713,7 +719,7 @@
         let mut stream = held.take().or_else(|| connect(bench.address()));
         let status = stream.as_mut().and_then(|stream| {
             stream.write_all(request.as_bytes()).ok()?;
-            answered(stream, &mut buffer)
+            read_status(stream, &mut buffer)
         });
         failed += usize::from(status != Some(200));
         times.push(Instant::now());
@@ -723,7 +729,7 @@
 }
 
 /// The longest time without an answer that ends within these, in milliseconds.
-fn gap(times: &[Instant], from: Instant, until: Instant) -> f64 {
+fn longest_gap_ms(times: &[Instant], from: Instant, until: Instant) -> f64 {
     let ends = times.windows(2).filter(|w| w[1] >= from && w[1] < until);
     ends.map(|w| (w[1] - w[0]).as_secs_f64() * 1e3).fold(0.0, f64::max)
 }
@@ -731,7 +737,7 @@
 /// A whole proxy by its routes: its start, memory, what a request costs, and how long SIGHUP holds its thread.
 fn routes(n: usize) {
     let mut fleet = Fleet::default();
-    let upstreams = stand_ins(&mut fleet);
+    let upstreams = start_stand_ins(&mut fleet);
     let services = number("services", 210);
     let most = number("routes", 11_000);
     // The last tells what the list has in a reload.
@@ -745,7 +751,7 @@
     let line = |what: &str, unit: &str, all: &[Bench], figures: &[f64]| {
         let points: Vec<_> = all.iter().map(count).zip(figures.iter().copied()).collect();
         // The last is another size of list.
-        measure::line(what, unit, &points[..3]);
+        measure::print_scaling(what, unit, &points[..3]);
         println!("  with {}: {:.3} {unit}", name(&all[3]), points[3].1);
     };
     for b in &all {
@@ -753,25 +759,25 @@
             "{}: a file of {} B, {:.1} ms of processor time at the start",
             name(b),
             std::fs::metadata(&b.config).map_or(0, |m| m.len()),
-            processor(b.pid) * 1e3
+            cpu_seconds(b.pid) * 1e3
         );
     }
     sleep(Duration::from_secs(2));
     let resident = |all: &[Bench], what: &str| -> Vec<f64> {
-        all.iter().map(|b| memory(b.pid, what)).collect()
+        all.iter().map(|b| memory_mb(b.pid, what)).collect()
     };
     line("memory, quiet", "MB", &all, &resident(&all, "VmRSS"));
     line("memory, at most", "MB", &all, &resident(&all, "VmHWM"));
 
     // Requests to all at the same time, after what is another matter in the first ones.
-    let drive_all = |seconds: f64, seed: usize| -> Vec<Driven> {
+    let drive_all = |seconds: f64, seed: usize| -> Vec<LoadResult> {
         thread::scope(|s| {
             let driven: Vec<_> = all
                 .iter()
                 .map(|b| {
                     s.spawn(move || {
                         let target = |r: &mut _| b.target(r);
-                        drive(&[b.address()], true, &target, "", seconds, seed)
+                        run_load(&[b.address()], true, &target, "", seconds, seed)
                     })
                 })
                 .collect();
@@ -779,7 +785,7 @@
         })
     };
     drive_all(4.0, 50);
-    let spent = |all: &[Bench]| -> Vec<f64> { all.iter().map(|b| processor(b.pid)).collect() };
+    let spent = |all: &[Bench]| -> Vec<f64> { all.iter().map(|b| cpu_seconds(b.pid)).collect() };
     let mut cost: Vec<Vec<f64>> = all.iter().map(|_| Vec::new()).collect();
     for repeat in 0..number("repeats", 3) {
         let before = spent(&all);
@@ -787,12 +793,12 @@
         for (place, (b, driven)) in all.iter().zip(&driven).enumerate() {
             let asked = driven.answered.len() + driven.failed;
             let took = driven.sorted(|_| true, |s| s.took);
-            cost[place].push((processor(b.pid) - before[place]) * 1e6 / asked as f64);
+            cost[place].push((cpu_seconds(b.pid) - before[place]) * 1e6 / asked as f64);
             println!(
                 "{}: p50 {:.3}, p99 {:.3} ms; {} answered, {} not; {:.1} us of processor time each",
                 name(b),
-                at(&took, 0.5),
-                at(&took, 0.99),
+                percentile(&took, 0.5),
+                percentile(&took, 0.99),
                 took.len(),
                 driven.failed,
                 cost[place][repeat]
@@ -811,7 +817,7 @@
         let text = std::fs::read_to_string(&b.config).expect("its file");
         let mut file: Value = serde_json::from_str(&text).expect("JSON");
         let mut with = |routes: usize| {
-            file["routes"] = table(services, routes);
+            file["routes"] = route_table(services, routes);
             file.to_string()
         };
         let texts = [with(b.routes + 1), with(b.routes)];
@@ -832,7 +838,7 @@
         };
         let (times, failed, quiet, reloads) = thread::scope(|s| {
             let total = EVERY.as_secs_f64() * (2 * RELOADS + 1) as f64;
-            let asking = s.spawn(move || one_by_one(b, total));
+            let asking = s.spawn(move || request_sequentially(b, total));
             let rest = |_| {
                 let at = Instant::now();
                 sleep(EVERY);
@@ -846,15 +852,15 @@
         // Without requests, for who asks one by one asks less meanwhile.
         // Services that were asked settle first.
         sleep(10 * EVERY);
-        let (idle, over, ()) = share(b.pid, || sleep(2 * EVERY));
-        let (spent, took, ()) = share(b.pid, || {
+        let (idle, over, ()) = measure_cpu(b.pid, || sleep(2 * EVERY));
+        let (spent, took, ()) = measure_cpu(b.pid, || {
             for i in 0..RELOADS {
                 reload(i);
             }
         });
         let cpu = (spent - idle / over * took) * 1e3 / RELOADS as f64;
         let gaps = |from: &[Instant]| -> Vec<f64> {
-            from.iter().map(|t| gap(&times, *t, *t + EVERY)).collect()
+            from.iter().map(|t| longest_gap_ms(&times, *t, *t + EVERY)).collect()
         };
         let (quiet, reloads) = (gaps(&quiet), gaps(&reloads));
         println!(
@@ -881,12 +887,12 @@
             let (from, calls) = (Instant::now(), free());
             let env = [("LB_CONFIG", b.config.as_str()), ("LB_MANAGEMENT", &calls.to_string())];
             let next = b.fleet.start(&format!("next-{}-{}-{i}", b.n, b.routes), &[], &env);
-            until("ready", START, || {
+            until("ready", START_TIMEOUT, || {
                 harness::get(calls, "/admin/health", &[]).is_some_and(|a| a.0 == 200)
             });
             each.push(from.elapsed().as_secs_f64() * 1e3);
             b.fleet.stop(b.proxy);
-            b.fleet.ended(b.proxy, START);
+            b.fleet.ended(b.proxy, START_TIMEOUT);
             b.proxy = next;
         }
         println!("= {}: a takeover until ready, ms: {}", name(b), spread(&each));
@@ -897,29 +903,29 @@
 
 fn tenants() {
     let mut fleet = Fleet::default();
-    let upstreams = stand_ins(&mut fleet);
+    let upstreams = start_stand_ins(&mut fleet);
     let most = number("tenants", 31_000);
     let seconds = number("seconds", 6) as f64;
     let (mut cost, mut idle, mut size) = (Vec::new(), Vec::new(), Vec::new());
     for tenants in [64, most / 30, most] {
         let bench = Bench::start(64, &upstreams, tenants);
         sleep(Duration::from_secs(1));
-        let (spent, took, ()) = share(bench.pid, || sleep(Duration::from_secs(3)));
+        let (spent, took, ()) = measure_cpu(bench.pid, || sleep(Duration::from_secs(3)));
         let quiet = spent / took;
         let header = format!("X-Tenant: tenant-{:05}\r\n", tenants - 1);
-        let (spent, took, driven) = share(bench.pid, || {
-            drive(&[bench.address()], true, &|r| bench.target(r), &header, seconds, 1)
+        let (spent, took, driven) = measure_cpu(bench.pid, || {
+            run_load(&[bench.address()], true, &|r| bench.target(r), &header, seconds, 1)
         });
         let answered = driven.answered.len();
         println!("{tenants} tenants: {answered} answered, {} not", driven.failed);
         let each = (spent - quiet * took) * 1e3 / answered.max(1) as f64;
         cost.push((tenants as f64, each));
         idle.push((tenants as f64, quiet * 100.0));
-        size.push((tenants as f64, memory(bench.pid, "VmRSS")));
+        size.push((tenants as f64, memory_mb(bench.pid, "VmRSS")));
     }
-    measure::line("a request of the last tenant, processor time", "ms", &cost);
-    measure::line("quiet, by tenants", "% of a core", &idle);
-    measure::line("memory, by tenants", "MB", &size);
+    measure::print_scaling("a request of the last tenant, processor time", "ms", &cost);
+    measure::print_scaling("quiet, by tenants", "% of a core", &idle);
+    measure::print_scaling("memory, by tenants", "MB", &size);
 }
 
 fn main() {
@@ -933,16 +939,16 @@
         number("services", 1),
         option("aim").unwrap_or_else(|| "2000".into())
     );
-    if measure::asked("control") {
+    if measure::is_selected("control") {
         control(&sizes);
     }
-    if measure::asked("requests") {
+    if measure::is_selected("requests") {
         requests(&sizes);
     }
-    if measure::asked("tenants") {
+    if measure::is_selected("tenants") {
         tenants();
     }
-    if measure::asked("routes") {
+    if measure::is_selected("routes") {
         routes(sizes.last().copied().unwrap_or(SIZES[2]));
     }
 }
--- a/benches/list_capacity.rs
+++ b/benches/list_capacity.rs
@@ -21,13 +21,13 @@
 use std::time::{Duration, Instant};
 
 use harness::{Cluster, Fleet, Watch, get, look, post};
-use measure::{Relay, line, memory, number, processor, side_by_side};
+use measure::{Relay, cpu_seconds, memory_mb, number, print_scaling, run_in_parallel};
 use serde_json::json;
 
 const SIZES: [usize; 3] = [64, 1024, 6100];
 const INSTANCES: usize = 5;
 const ZONES: usize = 5;
-const CALLERS: usize = 16;
+const CONCURRENT_CALLERS: usize = 16;
 /// The longest: nothing lapses while it is measured.
 const TTL_MS: u64 = 3_600_000;
 
@@ -57,15 +57,15 @@
 }
 
 /// The processor time of the leader and the mean of its followers since the last look.
-struct Spent {
+struct CpuUsage {
     pids: Vec<u32>,
     leader: usize,
     last: Vec<f64>,
 }
 
-impl Spent {
-    fn since(&mut self) -> [f64; 2] {
-        let now: Vec<f64> = self.pids.iter().map(|p| processor(*p)).collect();
+impl CpuUsage {
+    fn since_last(&mut self) -> [f64; 2] {
+        let now: Vec<f64> = self.pids.iter().map(|p| cpu_seconds(*p)).collect();
         let spent: Vec<f64> = now.iter().zip(&self.last).map(|(now, last)| now - last).collect();
         self.last = now;
         let led = spent[self.leader];
@@ -75,37 +75,41 @@
 
 /// Watches spread over these addresses; each message's revision is told with the moment it came.
 fn watches(lists: &[SocketAddr], n: usize, index: u64) -> Receiver<(u64, Instant)> {
-    let (told, heard) = channel();
+    let (sender, receiver) = channel();
     for i in 0..n {
-        let (at, told) = (lists[i % lists.len()], told.clone());
+        let (at, sender) = (lists[i % lists.len()], sender.clone());
         thread::spawn(move || {
             let mut watch = Watch::open(at, index);
             while let Some(message) = watch.next(Duration::from_secs(60)) {
                 let revision = message["revision"].as_u64().unwrap_or_default();
-                if told.send((revision, Instant::now())).is_err() {
+                if sender.send((revision, Instant::now())).is_err() {
                     return;
                 }
             }
         });
     }
-    heard
+    receiver
 }
 
 /// Waits until every watch has this revision: when the last had it.
-fn last(heard: &Receiver<(u64, Instant)>, n: usize, revision: u64) -> Option<Instant> {
-    let mut level = 0;
+fn wait_for_revision(
+    receiver: &Receiver<(u64, Instant)>,
+    n: usize,
+    revision: u64,
+) -> Option<Instant> {
+    let mut up_to_date = 0;
     let mut last = None;
-    while level < n {
-        let (told, at) = heard.recv_timeout(Duration::from_secs(20)).ok()?;
-        if told >= revision {
-            (level, last) = (level + 1, Some(at));
+    while up_to_date < n {
+        let (received, at) = receiver.recv_timeout(Duration::from_secs(20)).ok()?;
+        if received >= revision {
+            (up_to_date, last) = (up_to_date + 1, Some(at));
         }
     }
     last
 }
 
 /// One whole list read from a watch: its bytes.
-fn whole(at: SocketAddr) -> usize {
+fn read_full_list(at: SocketAddr) -> usize {
     let Ok(mut stream) = TcpStream::connect(at) else { return 0 };
     let _ = stream.set_read_timeout(Some(Duration::from_secs(20)));
     let _ = stream.write_all(b"GET /api/targets?stream=1&index=0 HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -140,18 +144,18 @@
         let leader = cluster.leader(None);
         let at = cluster.calls[leader];
         let pids: Vec<u32> = cluster.at.iter().map(|i| fleet.processes[*i].pid()).collect();
-        let last_spent = pids.iter().map(|p| processor(*p)).collect();
-        let mut spent = Spent { pids: pids.clone(), leader, last: last_spent };
+        let last_spent = pids.iter().map(|p| cpu_seconds(*p)).collect();
+        let mut spent = CpuUsage { pids: pids.clone(), leader, last: last_spent };
         let rss = |line| {
-            let all: Vec<f64> = pids.iter().map(|p| memory(*p, line)).collect();
+            let all: Vec<f64> = pids.iter().map(|p| memory_mb(*p, line)).collect();
             let led = all[leader];
             [led, (all.iter().sum::<f64>() - led) / (all.len() - 1) as f64]
         };
         let revision = || look(at, "/admin/stats")["revision"].as_u64().unwrap_or(0);
         let per = |spent: [f64; 2], count: usize| spent.map(|s| s * 1e6 / count as f64);
 
-        let took = side_by_side(CALLERS, n, |i| register(at, i));
-        let [led, followed] = per(spent.since(), n);
+        let took = run_in_parallel(CONCURRENT_CALLERS, n, |i| register(at, i));
+        let [led, followed] = per(spent.since_last(), n);
         put("a registration, leader", "us", led);
         put("a registration, follower", "us", followed);
         put("registrations by 16 callers", "a second", n as f64 / took.as_secs_f64());
@@ -159,17 +163,17 @@
         put("memory, follower", "MB", rss("VmRSS")[1]);
 
         sleep(Duration::from_secs(1));
-        spent.since();
+        spent.since_last();
         sleep(Duration::from_secs(4));
-        let [led, followed] = spent.since();
+        let [led, followed] = spent.since_last();
         put("quiet, leader", "% of a core", led / 4.0 * 100.0);
         put("quiet, follower", "% of a core", followed / 4.0 * 100.0);
 
         // Each on a connection of its own, as members make them.
         let renewals = number("renewals", 2000);
-        spent.since();
-        let took = side_by_side(CALLERS, renewals, |i| renew(at, i % n));
-        let [led, followed] = per(spent.since(), renewals);
+        spent.since_last();
+        let took = run_in_parallel(CONCURRENT_CALLERS, renewals, |i| renew(at, i % n));
+        let [led, followed] = per(spent.since_last(), renewals);
         put("a renewal, leader", "us", led);
         put("a renewal, follower", "us", followed);
         put("renewals by 16 callers", "a second", renewals as f64 / took.as_secs_f64());
@@ -180,16 +184,16 @@
 
         let before = rss("VmRSS");
         let relay = Relay::to(cluster.lists[leader]);
-        let heard = watches(&cluster.lists, watchers - 1, revision());
+        let receiver = watches(&cluster.lists, watchers - 1, revision());
         let one = watches(&[relay.address], 1, revision());
         sleep(Duration::from_millis(1500));
         let after = rss("VmRSS");
         let each = watchers as f64 / INSTANCES as f64;
         put("a watch, memory at a follower", "kB", (after[1] - before[1]) * 1e3 / each);
         let bytes = relay.bytes().1;
-        spent.since();
+        spent.since_last();
         sleep(Duration::from_secs(6));
-        let [led, followed] = spent.since();
+        let [led, followed] = spent.since_last();
         put("quiet with 400 watches, leader", "% of a core", led / 6.0 * 100.0);
         put("quiet with 400 watches, follower", "% of a core", followed / 6.0 * 100.0);
         put("a quiet watch", "B/s", (relay.bytes().1 - bytes) as f64 / 6.0);
@@ -197,17 +201,17 @@
         // One change after the other, and to the last watch.
         const CHANGES: usize = 40;
         let (mut waits, bytes) = (Vec::new(), relay.bytes().1);
-        spent.since();
+        spent.since_last();
         let begin = Instant::now();
         for i in 0..CHANGES {
             let from = Instant::now();
             set_phase(at, i / 2, if i % 2 == 0 { "DRAINING" } else { "SERVING" });
-            let reached = last(&heard, watchers - 1, revision());
+            let reached = wait_for_revision(&receiver, watchers - 1, revision());
             waits.push(reached.map_or(f64::NAN, |r| (r - from).as_secs_f64() * 1e3));
             sleep(Duration::from_millis(10));
         }
         let idle = begin.elapsed().as_secs_f64() / 6.0;
-        let [spent_led, spent_followed] = spent.since();
+        let [spent_led, spent_followed] = spent.since_last();
         let busy = [spent_led - led * idle, spent_followed - followed * idle];
         waits.sort_by(f64::total_cmp);
         put("a change to 400 watches, leader", "ms", busy[0] * 1e3 / CHANGES as f64);
@@ -218,11 +222,12 @@
 
         // A zone: a fifth of the members, as fast as they are taken.
         let (zone, bytes) = (n / ZONES, relay.bytes().1);
-        spent.since();
+        spent.since_last();
         let from = Instant::now();
-        let took = side_by_side(CALLERS, zone, |i| set_phase(at, ZONES * i + 2, "DRAINING"));
-        let reached = last(&heard, watchers - 1, revision());
-        let [led, followed] = spent.since();
+        let took =
+            run_in_parallel(CONCURRENT_CALLERS, zone, |i| set_phase(at, ZONES * i + 2, "DRAINING"));
+        let reached = wait_for_revision(&receiver, watchers - 1, revision());
+        let [led, followed] = spent.since_last();
         put("a zone's changes, written in", "s", took.as_secs_f64());
         let reached = reached.map_or(f64::NAN, |r| (r - from).as_secs_f64());
         put("a zone's changes, at the last watch", "s", reached);
@@ -230,18 +235,18 @@
         put("a zone's changes, follower", "s", followed);
         sleep(Duration::from_millis(200));
         put("a zone's changes", "kB a watch", (relay.bytes().1 - bytes) as f64 / 1e3);
-        drop((heard, one));
+        drop((receiver, one));
 
         // Everybody asks for the whole list at once.
-        spent.since();
+        spent.since_last();
         let from = Instant::now();
         let bytes: usize = thread::scope(|s| {
-            let ask = |i: usize| whole(cluster.lists[i % INSTANCES]);
+            let ask = |i: usize| read_full_list(cluster.lists[i % INSTANCES]);
             let all: Vec<_> = (0..watchers).map(|i| s.spawn(move || ask(i))).collect();
             all.into_iter().map(|t| t.join().unwrap_or(0)).sum()
         });
         let took = from.elapsed().as_secs_f64();
-        let [_, followed] = spent.since();
+        let [_, followed] = spent.since_last();
         put("400 whole lists, to the last", "s", took);
         put("400 whole lists", "MB", bytes as f64 / 1e6);
         put("a whole list, follower", "ms", followed * 1e3 / each);
@@ -250,15 +255,15 @@
 
         // What the sweep reads.
         let (other, reads) = ((leader + 1) % INSTANCES, 20);
-        let before = processor(pids[other]);
+        let before = cpu_seconds(pids[other]);
         let read = |_| get(cluster.calls[other], "/admin/members", &[]).map_or(0, |a| a.1.len());
         let most = (0..reads).map(read).max().unwrap_or(0);
-        let each = (processor(pids[other]) - before) * 1e3 / reads as f64;
+        let each = (cpu_seconds(pids[other]) - before) * 1e3 / reads as f64;
         put("the members read, an instance", "ms", each);
         put("the members read", "kB", most as f64 / 1e3);
     }
     for (what, unit, points) in &table {
-        line(what, unit, points);
+        print_scaling(what, unit, points);
     }
 }
 
@@ -268,7 +273,7 @@
     for &n in sizes {
         let mut fleet = Fleet::default();
         let cluster = Cluster::start(&mut fleet, 1, "");
-        side_by_side(CALLERS, n, |i| register(cluster.calls[0], i));
+        run_in_parallel(CONCURRENT_CALLERS, n, |i| register(cluster.calls[0], i));
         let relay = Relay::to(cluster.calls[0]);
         let services = relay.address.to_string();
         let sweep = fleet.start("sweep", &["sweep", "--services", &services, "--holder", "a"], &[]);
@@ -278,30 +283,30 @@
         let stand_in = fleet.start("u-1", &stand_in, &[]);
         sleep(Duration::from_secs(2));
         let pids = [sweep, stand_in].map(|i| fleet.processes[i].pid());
-        let before = (pids.map(processor), relay.bytes(), upstream.bytes());
+        let before = (pids.map(cpu_seconds), relay.bytes(), upstream.bytes());
         let connections = |r: &Relay| r.connections.load(std::sync::atomic::Ordering::Relaxed);
         let opened = (connections(&relay), connections(&upstream));
         sleep(Duration::from_secs(SECONDS));
         let seconds = SECONDS as f64;
         let rate =
             |now: (u64, u64), then: (u64, u64)| (now.0 + now.1 - then.0 - then.1) as f64 / seconds;
-        let cpu = (processor(pids[0]) - before.0[0]) / seconds * 100.0;
+        let cpu = (cpu_seconds(pids[0]) - before.0[0]) / seconds * 100.0;
         sweeps[0].push((n as f64, cpu));
         sweeps[1].push((n as f64, rate(relay.bytes(), before.1) / 1e3));
-        sweeps[2].push((n as f64, memory(pids[0], "VmRSS")));
+        sweeps[2].push((n as f64, memory_mb(pids[0], "VmRSS")));
         println!(
             "{n} members: sweep {:.1} calls a second; an upstream that registers, TTL 10 s: {:.4}% of a core, {:.0} B/s, \
              {:.2} calls a second, {:.1} MB",
             (connections(&relay) - opened.0) as f64 / seconds,
-            (processor(pids[1]) - before.0[1]) / seconds * 100.0,
+            (cpu_seconds(pids[1]) - before.0[1]) / seconds * 100.0,
             rate(upstream.bytes(), before.2),
             (connections(&upstream) - opened.1) as f64 / seconds,
-            memory(pids[1], "VmRSS")
+            memory_mb(pids[1], "VmRSS")
         );
     }
-    line("sweep", "% of a core", &sweeps[0]);
-    line("sweep, both ways", "kB/s", &sweeps[1]);
-    line("sweep, memory", "MB", &sweeps[2]);
+    print_scaling("sweep", "% of a core", &sweeps[0]);
+    print_scaling("sweep, both ways", "kB/s", &sweeps[1]);
+    print_scaling("sweep, memory", "MB", &sweeps[2]);
 }
 
 fn main() {
@@ -311,10 +316,10 @@
     }
     let sizes = measure::sizes(&SIZES);
     println!("members {sizes:?}, {INSTANCES} instances, {} watches", number("watches", 400));
-    if measure::asked("instances") {
+    if measure::is_selected("instances") {
         instances(&sizes);
     }
-    if measure::asked("callers") {
+    if measure::is_selected("callers") {
         callers(&sizes);
     }
 }
--- a/benches/list_client.rs
+++ b/benches/list_client.rs
@@ -16,7 +16,7 @@
 const SIZES: [u32; 3] = [64, 256, 1024];
 const RUNS: usize = 201;
 
-fn whole(n: u32) -> Vec<u8> {
+fn full_list_json(n: u32) -> Vec<u8> {
     let entry = |i| {
         serde_json::json!({"id": format!("s-{i:08x}"), "host_port": format!("10.1.{}.{}:8081", i / 250, i % 250),
             "locality": "a", "flavor": "m2", "cell": i / 8, "phase": "SERVING", "size": 1.0, "up_since_ms": 0})
@@ -39,42 +39,42 @@
 }
 
 /// The module with a fleet of `n`, told of changes.
-struct Told {
+struct PolicyHarness {
     balancer: Balancer,
     fleet: Vec<Member>,
     now: i64,
     actions: Vec<hollowpaddle::interface::Action>,
 }
 
-impl Told {
+impl PolicyHarness {
     fn new(n: u32) -> Self {
         let settings = Settings::basic(vec![Class::safe(Span(400_000), Span(2_000_000))]);
         let balancer = Balancer::new(settings, 7, Time(0)).expect("sound settings");
         let fleet = (0..n).map(|i| Member::live(ServerId(i))).collect();
-        let mut told = Self { balancer, fleet, now: 0, actions: Vec::new() };
-        told.whole();
-        told
+        let mut harness = Self { balancer, fleet, now: 0, actions: Vec::new() };
+        harness.apply_full_list();
+        harness
     }
 
-    fn tell(&mut self, kind: ListKind, list: &[Member]) -> usize {
+    fn apply_update(&mut self, kind: ListKind, list: &[Member]) -> usize {
         self.now += 1000;
         self.actions.clear();
         self.balancer.handle(Time(self.now), Event::Members { kind, list }, &mut self.actions);
         self.actions.len()
     }
 
-    fn whole(&mut self) -> usize {
+    fn apply_full_list(&mut self) -> usize {
         let list = std::mem::take(&mut self.fleet);
-        let actions = self.tell(ListKind::Full, &list);
+        let actions = self.apply_update(ListKind::Full, &list);
         self.fleet = list;
         actions
     }
 
-    fn change(&mut self) -> usize {
+    fn change_member(&mut self) -> usize {
         let mut one = self.fleet[0];
         one.status = if one.status == Status::Live { Status::Draining } else { Status::Live };
         self.fleet[0] = one;
-        self.tell(ListKind::Update, &[one])
+        self.apply_update(ListKind::Update, &[one])
     }
 }
 
@@ -91,21 +91,23 @@
     all[RUNS / 2]
 }
 
-fn news(c: &mut Criterion) {
+fn list_updates(c: &mut Criterion) {
     let mut medians = Vec::new();
     for n in SIZES {
-        let bytes = whole(n);
-        let (mut lists, mut changes) = (Told::new(n), Told::new(n));
+        let bytes = full_list_json(n);
+        let (mut lists, mut changes) = (PolicyHarness::new(n), PolicyHarness::new(n));
         assert_eq!(read(&bytes), n as usize);
         c.bench_with_input(BenchmarkId::new("read_whole", n), &n, |b, _| b.iter(|| read(&bytes)));
-        c.bench_with_input(BenchmarkId::new("told_whole", n), &n, |b, _| b.iter(|| lists.whole()));
+        c.bench_with_input(BenchmarkId::new("told_whole", n), &n, |b, _| {
+            b.iter(|| lists.apply_full_list())
+        });
         c.bench_with_input(BenchmarkId::new("told_change", n), &n, |b, _| {
-            b.iter(|| changes.change())
+            b.iter(|| changes.change_member())
         });
         medians.push([
             median(|| read(&bytes)),
-            median(|| lists.whole()),
-            median(|| changes.change()),
+            median(|| lists.apply_full_list()),
+            median(|| changes.change_member()),
         ]);
     }
     for (i, what) in
@@ -121,5 +123,5 @@
     }
 }
 
-criterion_group!(benches, news);
+criterion_group!(benches, list_updates);
 criterion_main!(benches);
--- a/benches/list_service.rs
+++ b/benches/list_service.rs
@@ -15,7 +15,7 @@
 
 const WATCHES: usize = 300;
 const MEMBERS: usize = 1000;
-const SOON: Duration = Duration::from_secs(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn seeds() -> String {
     let member = |i| {
@@ -29,23 +29,23 @@
 
 /// Watches spread over the instances; each message's revision is told with the moment it came.
 fn watches(cluster: &Cluster, index: u64) -> Receiver<(u64, Instant)> {
-    let (told, heard) = channel();
+    let (sender, receiver) = channel();
     for i in 0..WATCHES {
-        let (at, told) = (cluster.lists[i % cluster.lists.len()], told.clone());
+        let (at, sender) = (cluster.lists[i % cluster.lists.len()], sender.clone());
         thread::spawn(move || {
             let mut watch = Watch::open(at, index);
             while let Some(message) = watch.next(Duration::from_secs(60)) {
                 let revision = message["revision"].as_u64().unwrap_or_default();
-                if told.send((revision, Instant::now())).is_err() {
+                if sender.send((revision, Instant::now())).is_err() {
                     return;
                 }
             }
         });
     }
-    heard
+    receiver
 }
 
-fn rss_kb(fleet: &Fleet, cluster: &Cluster) -> u64 {
+fn total_rss_kb(fleet: &Fleet, cluster: &Cluster) -> u64 {
     let of = |i: &usize| {
         let status = std::fs::read_to_string(format!("/proc/{}/status", fleet.processes[*i].pid()));
         let status = status.unwrap_or_default();
@@ -55,7 +55,7 @@
     cluster.at.iter().map(of).sum()
 }
 
-fn percentiles(what: &str, mut all: Vec<Duration>) {
+fn print_percentiles(what: &str, mut all: Vec<Duration>) {
     if all.is_empty() {
         return; // Filtered out.
     }
@@ -74,10 +74,10 @@
     let mut fleet = Fleet::default();
     let cluster = Cluster::start(&mut fleet, 3, &seeds());
     let index = look(cluster.lists[0], "/-/ready")["revision"].as_u64().expect("a revision");
-    let before = rss_kb(&fleet, &cluster);
-    let heard = watches(&cluster, index);
+    let before = total_rss_kb(&fleet, &cluster);
+    let receiver = watches(&cluster, index);
     thread::sleep(Duration::from_millis(500));
-    let after = rss_kb(&fleet, &cluster);
+    let after = total_rss_kb(&fleet, &cluster);
     eprintln!("memory a watch: {:.1} kB", after.saturating_sub(before) as f64 / WATCHES as f64);
     let (mut all, mut n) = (Vec::new(), 0);
     c.bench_function("a change reaches 300 watches", |b| {
@@ -89,8 +89,8 @@
                 let revision = cluster.register(&format!("new-{}", n % 8), free());
                 let mut last = from;
                 for _ in 0..WATCHES {
-                    let (told, at) = heard.recv_timeout(SOON).expect("a watch");
-                    assert_eq!(told, revision, "one line for one change");
+                    let (received, at) = receiver.recv_timeout(WAIT_TIMEOUT).expect("a watch");
+                    assert_eq!(received, revision, "one line for one change");
                     all.push(at - from);
                     last = last.max(at);
                 }
@@ -99,7 +99,7 @@
             spent
         });
     });
-    percentiles("from the call that changes to a watch", all);
+    print_percentiles("from the call that changes to a watch", all);
 }
 
 fn failover(c: &mut Criterion) {
@@ -120,7 +120,7 @@
                 fleet.kill(cluster.at[writer]);
                 let from = Instant::now();
                 cluster.register("after", free());
-                watch.next(SOON).expect("an event");
+                watch.next(WAIT_TIMEOUT).expect("an event");
                 spent += from.elapsed();
                 all.push(from.elapsed());
                 fleet.restart(cluster.at[writer]);
@@ -131,7 +131,7 @@
         });
     });
     group.finish();
-    percentiles("failover", all);
+    print_percentiles("failover", all);
 }
 
 fn handover(c: &mut Criterion) {
@@ -155,12 +155,13 @@
             let mut spent = Duration::ZERO;
             for _ in 0..times {
                 let [at_a, at_b] = [fleet.address(a), fleet.address(b)];
-                harness::until("one holds", SOON, || {
+                harness::until("one holds", WAIT_TIMEOUT, || {
                     token(at_a).is_some() || token(at_b).is_some()
                 });
                 let (holder, next) = if token(at_a).is_some() { (a, at_b) } else { (b, at_a) };
                 fleet.kill(holder);
-                let took = harness::until("the other holds", SOON, || token(next).is_some());
+                let took =
+                    harness::until("the other holds", WAIT_TIMEOUT, || token(next).is_some());
                 spent += took;
                 all.push(took);
                 fleet.restart(holder);
@@ -169,7 +170,7 @@
         });
     });
     group.finish();
-    percentiles("handover", all);
+    print_percentiles("handover", all);
     let writes = || -> u64 {
         let of = |at| look(at, "/admin/stats")["writes"].as_u64().unwrap_or(0);
         cluster.calls.iter().map(|at| of(*at)).sum()
--- a/benches/measure/mod.rs
+++ b/benches/measure/mod.rs
@@ -10,16 +10,16 @@
 
 /// Processor time of all threads so far, in seconds: `/proc/PID/task/*/schedstat`, where the system keeps it to the
 /// nanosecond; `/proc/PID/stat` counts in steps of 10 ms, too coarse for 1% of a core.
-pub fn processor(pid: u32) -> f64 {
-    schedule(pid, 0)
+pub fn cpu_seconds(pid: u32) -> f64 {
+    schedstat_seconds(pid, 0)
 }
 
 /// How long its threads were ready to run and had no processor so far, in seconds: what the machine adds.
-pub fn waited(pid: u32) -> f64 {
-    schedule(pid, 1)
+pub fn runnable_wait_seconds(pid: u32) -> f64 {
+    schedstat_seconds(pid, 1)
 }
 
-fn schedule(pid: u32, column: usize) -> f64 {
+fn schedstat_seconds(pid: u32, column: usize) -> f64 {
     let tasks = std::fs::read_dir(format!("/proc/{pid}/task"));
     let of = |task: std::fs::DirEntry| {
         let text = std::fs::read_to_string(task.path().join("schedstat")).ok()?;
@@ -29,7 +29,7 @@
 }
 
 /// A line of `/proc/PID/status` in MB (10^6 bytes): `VmRSS` now, `VmHWM` at most so far.
-pub fn memory(pid: u32, line: &str) -> f64 {
+pub fn memory_mb(pid: u32, line: &str) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix(line)?.strip_prefix(':'));
     let kib = line.and_then(|l| l.split_whitespace().next()?.parse::<f64>().ok());
@@ -37,15 +37,15 @@
 }
 
 /// Processor seconds of a process for each second of the time that `run` takes; and what it returned.
-pub fn share<T>(pid: u32, run: impl FnOnce() -> T) -> (f64, f64, T) {
-    let (from, before) = (Instant::now(), processor(pid));
+pub fn measure_cpu<T>(pid: u32, run: impl FnOnce() -> T) -> (f64, f64, T) {
+    let (from, before) = (Instant::now(), cpu_seconds(pid));
     let done = run();
-    let (spent, took) = (processor(pid) - before, from.elapsed().as_secs_f64());
+    let (spent, took) = (cpu_seconds(pid) - before, from.elapsed().as_secs_f64());
     (spent, took, done)
 }
 
 /// The line through these points with the least squares: what there is at 0, and the slope.
-pub fn fit(points: &[(f64, f64)]) -> (f64, f64) {
+pub fn fit_line(points: &[(f64, f64)]) -> (f64, f64) {
     let n = points.len() as f64;
     let (x, y) = points.iter().fold((0.0, 0.0), |(x, y), p| (x + p.0 / n, y + p.1 / n));
     let over: f64 = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
@@ -55,8 +55,8 @@
 }
 
 /// Prints a figure at each size, as multiples of the first, and its line.
-pub fn line(what: &str, unit: &str, points: &[(f64, f64)]) {
-    let (constant, slope) = fit(points);
+pub fn print_scaling(what: &str, unit: &str, points: &[(f64, f64)]) {
+    let (constant, slope) = fit_line(points);
     let each: Vec<String> = points.iter().map(|(x, y)| format!("{y:.3} at {x}")).collect();
     let first = points.first().map_or(1.0, |p| p.1);
     let times: Vec<String> = points.iter().map(|p| format!("{:.2}", p.1 / first)).collect();
@@ -84,7 +84,7 @@
 }
 
 /// Whether this part is asked for; all are where none is.
-pub fn asked(part: &str) -> bool {
+pub fn is_selected(part: &str) -> bool {
     let parts: Vec<String> =
         std::env::args().skip(1).filter(|a| !a.starts_with('-') && !a.contains('=')).collect();
     parts.is_empty() || parts.iter().any(|p| p == part)
@@ -100,7 +100,7 @@
     pub connections: Arc<AtomicU64>,
 }
 
-fn pass(mut from: TcpStream, mut to: TcpStream, count: Arc<AtomicU64>) {
+fn forward(mut from: TcpStream, mut to: TcpStream, count: Arc<AtomicU64>) {
     let mut buffer = vec![0; 64 << 10];
     while let Ok(n) = from.read(&mut buffer) {
         count.fetch_add(n as u64, Ordering::Relaxed);
@@ -125,8 +125,8 @@
                 let _ = (near.set_nodelay(true), far.set_nodelay(true));
                 let (Ok(near2), Ok(far2)) = (near.try_clone(), far.try_clone()) else { continue };
                 let (counted, answered) = (counted.clone(), answered.clone());
-                thread::spawn(move || pass(near, far, counted));
-                thread::spawn(move || pass(far2, near2, answered));
+                thread::spawn(move || forward(near, far, counted));
+                thread::spawn(move || forward(far2, near2, answered));
             }
         });
         Self { address, out, back, connections }
@@ -138,7 +138,7 @@
 }
 
 /// Does `run` on so many threads, the numbers up to `count` shared out; how long it took.
-pub fn side_by_side(threads: usize, count: usize, run: impl Fn(usize) + Sync) -> Duration {
+pub fn run_in_parallel(threads: usize, count: usize, run: impl Fn(usize) + Sync) -> Duration {
     let from = Instant::now();
     thread::scope(|s| {
         for t in 0..threads {
--- a/benches/recovery.rs
+++ b/benches/recovery.rs
@@ -37,32 +37,32 @@
 }
 
 /// An instance that is alone and has carried out so many writes, and the records it kept of them.
-fn written(writes: u64) -> (Replica, Vec<Vec<u8>>) {
-    let kept = RaftStorage::new(vec![1]);
-    let again = Duration::from_secs(1);
-    let mut replica = Replica::new::<Infallible>(1, kept, 1024, 1, again).expect("starts");
+fn replica_after_writes(writes: u64) -> (Replica, Vec<Vec<u8>>) {
+    let storage = RaftStorage::new(vec![1]);
+    let retry_after = Duration::from_secs(1);
+    let mut replica = Replica::new::<Infallible>(1, storage, 1024, 1, retry_after).expect("starts");
     let mut records = Vec::new();
-    let mut turn = |replica: &mut Replica| {
-        let keep = |batch: &[Record]| {
+    let mut advance = |replica: &mut Replica| {
+        let persist = |batch: &[Record]| {
             records.extend(batch.iter().map(|r| postcard::to_stdvec(r).expect("a record")));
             Ok::<_, Infallible>(())
         };
-        replica.process_ready(Duration::ZERO, keep).expect("goes on");
+        replica.process_ready(Duration::ZERO, persist).expect("goes on");
     };
     replica.campaign();
-    turn(&mut replica);
+    advance(&mut replica);
     let seed = Command::Seed { revision: 0, members: vec![] };
     replica.propose(&seed).expect("leads");
-    turn(&mut replica);
+    advance(&mut replica);
     for i in 0..writes {
         let command = Command::Register { member: member(i), ttl_ms: None, fence: None };
         replica.propose(&command).expect("leads");
-        turn(&mut replica);
+        advance(&mut replica);
     }
     (replica, records)
 }
 
-fn lay(dir: &Path, records: &[Vec<u8>]) -> Vec<u8> {
+fn write_log(dir: &Path, records: &[Vec<u8>]) -> Vec<u8> {
     let mut data = Vec::new();
     for (i, payload) in records.iter().enumerate() {
         record::encode(i as u64 + 1, payload, &mut data);
@@ -72,19 +72,19 @@
     data
 }
 
-fn serves_again(c: &mut Criterion) {
+fn restart_with_long_log(c: &mut Criterion) {
     let mut fleet = Fleet::default();
     let dir = fleet.folder("long");
-    let (mut replica, mut records) = written(RECORDS as u64);
+    let (mut replica, mut records) = replica_after_writes(RECORDS as u64);
     records.truncate(RECORDS);
-    let data = lay(&dir, &records);
-    let whole = replica.compact().expect("compacts");
+    let data = write_log(&dir, &records);
+    let snapshot = replica.compact().expect("compacts");
     eprintln!(
         "on disk: {:.0} bytes a write in the log ({} records, {:.1} MB); {:.0} bytes a member in a snapshot",
         data.len() as f64 / records.len() as f64,
         records.len(),
         data.len() as f64 / 1e6,
-        whole.len() as f64 / MEMBERS as f64
+        snapshot.len() as f64 / MEMBERS as f64
     );
     let at = free();
     let text = format!(
@@ -124,7 +124,7 @@
     group.finish();
 }
 
-fn appends(c: &mut Criterion) {
+fn append_with_sync(c: &mut Criterion) {
     let mut fleet = Fleet::default();
     let mut group = c.benchmark_group("append with a sync for each batch");
     for batch in [1_usize, 10, 100, 1000] {
@@ -142,6 +142,6 @@
 criterion_group! {
     name = benches;
     config = Criterion::default().without_plots();
-    targets = serves_again, appends
+    targets = restart_with_long_log, append_with_sync
 }
 criterion_main!(benches);
--- a/benches/routing.rs
+++ b/benches/routing.rs
@@ -72,9 +72,9 @@
         let build = || RouteTable::new(&routes, &services).expect("sound routes");
         // Eight, so that what is left of earlier ones in the allocator matters less.
         let before = resident_kib();
-        let eight: Vec<RouteTable> = (0..8).map(|_| build()).collect();
+        let tables: Vec<RouteTable> = (0..8).map(|_| build()).collect();
         let kib = resident_kib().saturating_sub(before) as f64 / 8.0;
-        let table = &eight[7];
+        let table = &tables[7];
         let find = || requests.iter().filter(|(h, p)| table.find(h, p).is_some()).count();
         assert_eq!(find(), REQUESTS - REQUESTS / 10);
         let counts: usize = requests.iter().map(|(h, p)| table.find_counted(h, p).1).sum();
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -29,29 +29,29 @@
 
 /// What the operators allow: the newest revision everywhere, in seconds; of a balancer's control: share of a core in
 /// percent, MB, and bytes a second.
-const ALLOWED_SECONDS: f64 = 13.0;
-const ALLOWED_CORE: f64 = 1.0;
-const ALLOWED_MB: f64 = 64.0;
-const ALLOWED_BYTES: f64 = 3000.0;
+const MAX_LAG_SECONDS: f64 = 13.0;
+const MAX_CORE_PERCENT: f64 = 1.0;
+const MAX_MEMORY_MB: f64 = 64.0;
+const MAX_BYTES_PER_SECOND: f64 = 3000.0;
 /// For each wait.
-const WITHIN: Duration = Duration::from_secs(240);
-const QUIET: Duration = Duration::from_secs(20);
-const CHANGES: usize = 50;
+const WAIT_TIMEOUT: Duration = Duration::from_secs(240);
+const QUIET_DURATION: Duration = Duration::from_secs(20);
+const CHANGE_COUNT: usize = 50;
 /// Phases that sizes before the last play.
-const FOR_SLOPES: &str = "quiet,changes,herd";
+const SLOPE_PHASES: &str = "quiet,changes,herd";
 /// Instances, and those of them in the first region.
 const INSTANCES: usize = 5;
-const FIRST: usize = 3;
+const FIRST_REGION_INSTANCES: usize = 3;
 
 /// Compares what is newest at the list service with the lowest of all balancers ten times a second.
-struct Watcher {
-    state: Arc<Mutex<Watched>>,
+struct LagMonitor {
+    state: Arc<Mutex<LagState>>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 #[derive(Default)]
-struct Watched {
+struct LagState {
     /// Processes of balancers that are compared.
     balancers: Vec<SocketAddr>,
     waiting: VecDeque<(Instant, u64)>,
@@ -59,9 +59,9 @@
     worst: Duration,
 }
 
-impl Watcher {
+impl LagMonitor {
     fn start(services: Vec<SocketAddr>, balancers: Vec<SocketAddr>) -> Self {
-        let state = Arc::new(Mutex::new(Watched { balancers, ..Watched::default() }));
+        let state = Arc::new(Mutex::new(LagState { balancers, ..LagState::default() }));
         let stop = Arc::new(AtomicBool::new(false));
         let (shared, stopped) = (state.clone(), stop.clone());
         let thread = thread::spawn(move || {
@@ -101,12 +101,12 @@
         (state.balancers, state.waiting) = (balancers, VecDeque::new());
     }
 
-    fn worst(&self) -> Duration {
+    fn take_worst(&self) -> Duration {
         std::mem::take(&mut self.state.lock().expect("a state").worst)
     }
 }
 
-impl Drop for Watcher {
+impl Drop for LagMonitor {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
@@ -116,7 +116,7 @@
 }
 
 /// Processor time of a process in seconds, and its resident memory in MB, as the system tells.
-fn process(pid: u32) -> (f64, f64) {
+fn process_usage(pid: u32) -> (f64, f64) {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let after = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
     let ticks: f64 =
@@ -128,7 +128,7 @@
 }
 
 /// What is counted, at one moment.
-struct Mark {
+struct Snapshot {
     at: Instant,
     counts: Vec<Counts>,
     /// Of each process of balancers.
@@ -140,9 +140,11 @@
     registrations: u64,
 }
 
-impl Mark {
+impl Snapshot {
     fn take(r: &Rehearsal) -> Self {
-        let of = |all: &[usize]| all.iter().map(|i| process(r.fleet.processes[*i].pid())).collect();
+        let of = |all: &[usize]| {
+            all.iter().map(|i| process_usage(r.fleet.processes[*i].pid())).collect()
+        };
         let calls = |key: &str| -> u64 {
             let of = |i: &usize| look(r.fleet.address(*i), "/admin/stats");
             let of = |i| of(i)["upstreams"]["calls"][key].as_u64().unwrap_or(0);
@@ -182,9 +184,15 @@
 }
 
 /// Ends a phase: waits until all are level, prints what it cost.
-fn phase(what: &str, r: &Rehearsal, watcher: &Watcher, from: &Mark, why: &str) -> Cost {
-    let (list, level) = r.level(WITHIN);
-    let (now, worst) = (Mark::take(r), watcher.worst());
+fn finish_phase(
+    what: &str,
+    r: &Rehearsal,
+    monitor: &LagMonitor,
+    from: &Snapshot,
+    why: &str,
+) -> Cost {
+    let (list, level) = r.level(WAIT_TIMEOUT);
+    let (now, worst) = (Snapshot::take(r), monitor.take_worst());
     let seconds = (now.at - from.at).as_secs_f64();
     let each = r.size.balancers as f64 / r.size.balancer_processes as f64;
     let counts: Vec<Counts> =
@@ -222,13 +230,13 @@
     );
     println!(
         "  last balancer has the newest revision after {} s at worst; level {:.2} s after the end; went back {back}",
-        beside(worst.as_secs_f64(), ALLOWED_SECONDS),
+        beside(worst.as_secs_f64(), MAX_LAG_SECONDS),
         level.as_secs_f64()
     );
     println!(
         "  a balancer: bytes/s mean {} largest {}; messages {:.1}/{:.0}, entries {:.1}, services told {:.1}, whole lists {:.2}, bytes {:.0}/{:.0}",
-        beside(cost.bytes_a_second.0, ALLOWED_BYTES),
-        beside(cost.bytes_a_second.1, ALLOWED_BYTES),
+        beside(cost.bytes_a_second.0, MAX_BYTES_PER_SECOND),
+        beside(cost.bytes_a_second.1, MAX_BYTES_PER_SECOND),
         of(|c| c.messages).0,
         of(|c| c.messages).1,
         of(|c| c.entries).0,
@@ -239,14 +247,14 @@
     );
     println!(
         "  a balancer: core % mean {} largest process {}; module ms {:.2}/{:.2} of {:.2}, longest call so far {:.2}; MB mean {} largest {}",
-        beside(core.0, ALLOWED_CORE),
-        beside(core.1, ALLOWED_CORE),
+        beside(core.0, MAX_CORE_PERCENT),
+        beside(core.1, MAX_CORE_PERCENT),
         cost.module_us.0 / 1000.0,
         cost.module_us.1 / 1000.0,
         cost.process_us / 1000.0,
         of(|c| c.module_longest_us).1 / 1000.0,
-        beside(mb.0, ALLOWED_MB),
-        beside(mb.1, ALLOWED_MB),
+        beside(mb.0, MAX_MEMORY_MB),
+        beside(mb.1, MAX_MEMORY_MB),
     );
     println!(
         "  instances: core % {:?}, MB {:?}; registrations {}, calls of upstreams that failed {}",
@@ -260,14 +268,18 @@
 }
 
 /// What one size showed, for the slopes.
-struct Shown {
+struct SizeResult {
     members: f64,
     quiet: Cost,
     changes: Cost,
     herd: Cost,
 }
 
-fn play(share: f64, (ttl_ms, spread_ms): (u64, u64), wanted: &dyn Fn(&str) -> bool) -> Shown {
+fn run_size(
+    share: f64,
+    (ttl_ms, spread_ms): (u64, u64),
+    wanted: &dyn Fn(&str) -> bool,
+) -> SizeResult {
     let processes = if share > 0.5 { 10 } else { 5 };
     let whole = |n: f64| ((n * share / processes as f64).round().max(1.0) as usize) * processes;
     let size = Size {
@@ -282,7 +294,7 @@
     println!("\n== {size:?}, {INSTANCES} instances");
     let link = Link::new();
     let mut fleet = Fleet::default();
-    let region = |i: usize| usize::from(i >= FIRST);
+    let region = |i: usize| usize::from(i >= FIRST_REGION_INSTANCES);
     let cluster = Cluster::start_routed(&mut fleet, INSTANCES, "", &mut |from, to, at| {
         if region(from) == region(to) { at } else { link.relay(at) }
     });
@@ -296,7 +308,8 @@
         let calls = own.map(|(_, at)| *at).collect();
         Region { zones: zones.to_vec(), lists, calls }
     };
-    let (first, second) = (view(0, &ZONES[..FIRST]), view(1, &ZONES[FIRST..]));
+    let (first, second) =
+        (view(0, &ZONES[..FIRST_REGION_INSTANCES]), view(1, &ZONES[FIRST_REGION_INSTANCES..]));
     // Three processes of five are in the first region.
     let regions = vec![first.clone(), second.clone(), first.clone(), second, first];
     let mut r = Rehearsal::start_in(fleet, cluster, size, regions);
@@ -304,43 +317,49 @@
         let kept = r.balancers.iter().enumerate().filter(|(i, _)| of(*i));
         kept.map(|(_, at)| r.fleet.address(*at)).collect()
     };
-    let watcher = Watcher::start(r.cluster.calls.clone(), addresses(&r, &|_| true));
+    let monitor = LagMonitor::start(r.cluster.calls.clone(), addresses(&r, &|_| true));
     let all = size.upstreams;
     let mut acknowledged: Vec<String> = Vec::new();
     let mut change = |r: &Rehearsal, n: usize, pace: u64| {
         for _ in 0..n {
             let id = format!("x-{}", acknowledged.len());
-            r.register(&id, WITHIN);
+            r.register(&id, WAIT_TIMEOUT);
             acknowledged.push(id);
             sleep(Duration::from_millis(pace));
         }
         acknowledged.len()
     };
 
-    let from = Mark::take(&r);
+    let from = Snapshot::take(&r);
     for _ in 0..size.upstream_processes {
         r.more_upstreams(size.upstreams / size.upstream_processes);
     }
-    let took = until("all are in the list", WITHIN, || r.members() == all);
-    phase("start from nothing", &r, &watcher, &from, &format!("all in the list after {took:.1?}"));
+    let took = until("all are in the list", WAIT_TIMEOUT, || r.members() == all);
+    finish_phase(
+        "start from nothing",
+        &r,
+        &monitor,
+        &from,
+        &format!("all in the list after {took:.1?}"),
+    );
 
     let (mut quiet, mut changes, mut herd) = Default::default();
     if wanted("quiet") {
-        let from = Mark::take(&r);
-        sleep(QUIET);
-        quiet = phase("quiet", &r, &watcher, &from, "renewals only");
+        let from = Snapshot::take(&r);
+        sleep(QUIET_DURATION);
+        quiet = finish_phase("quiet", &r, &monitor, &from, "renewals only");
     }
     if wanted("changes") {
-        let from = Mark::take(&r);
-        change(&r, CHANGES, 100);
-        changes = phase("single changes", &r, &watcher, &from, "ten a second");
+        let from = Snapshot::take(&r);
+        change(&r, CHANGE_COUNT, 100);
+        changes = finish_phase("single changes", &r, &monitor, &from, "ten a second");
     }
     if wanted("leader") {
-        let from = Mark::take(&r);
-        let leader = r.leader(None, WITHIN);
+        let from = Snapshot::take(&r);
+        let leader = r.leader(None, WAIT_TIMEOUT);
         r.fleet.kill(r.cluster.at[leader]);
         let killed = Instant::now();
-        r.leader(Some(leader), WITHIN);
+        r.leader(Some(leader), WAIT_TIMEOUT);
         let led = killed.elapsed();
         change(&r, 20, 20);
         // Only once every upstream has renewed elsewhere: asked through the link, it would name the leader by an address
@@ -350,59 +369,60 @@
         r.fleet.ready(r.cluster.at[leader]);
         sleep(Duration::from_millis(2 * ttl_ms));
         let why = format!("instance {} killed, another led after {led:.2?}", leader + 1);
-        phase("a leader killed", &r, &watcher, &from, &why);
+        finish_phase("a leader killed", &r, &monitor, &from, &why);
     }
     if wanted("zone") {
-        let from = Mark::take(&r);
+        let from = Snapshot::take(&r);
         let before = r.members();
         let dropped = r.order("balancers", "{\"do\":\"drop\",\"zone\":\"b\"}");
         let dead = r.order("upstreams", "{\"do\":\"die\",\"zone\":\"b\"}") as usize;
-        let gone = until("the zone is gone", WITHIN, || r.members() == before - dead);
+        let gone = until("the zone is gone", WAIT_TIMEOUT, || r.members() == before - dead);
         let back = Instant::now();
         r.order("upstreams", "{\"do\":\"return\",\"zone\":\"b\"}");
         r.order("balancers", "{\"do\":\"return\",\"zone\":\"b\"}");
-        until("the zone is back", WITHIN, || r.members() == before);
+        until("the zone is back", WAIT_TIMEOUT, || r.members() == before);
         let why = format!(
             "{dead} upstreams and {dropped} balancers; out of the list after {gone:.1?}, in again after {:.1?}",
             back.elapsed()
         );
-        phase("a zone gone and back", &r, &watcher, &from, &why);
+        finish_phase("a zone gone and back", &r, &monitor, &from, &why);
     }
     if wanted("herd") {
-        let from = Mark::take(&r);
+        let from = Snapshot::take(&r);
         r.order("balancers", "{\"do\":\"drop\"}");
         sleep(Duration::from_secs(1));
         let back = Instant::now();
         r.order("balancers", "{\"do\":\"return\"}");
         let newest = r.newest();
-        until("all hold a list", WITHIN, || r.lowest(&r.balancers) >= newest);
+        until("all hold a list", WAIT_TIMEOUT, || r.lowest(&r.balancers) >= newest);
         let why = format!("the last holds the list after {:.2?}", back.elapsed());
-        herd = phase("all balancers back at once", &r, &watcher, &from, &why);
+        herd = finish_phase("all balancers back at once", &r, &monitor, &from, &why);
     }
     if wanted("stopped") {
-        let from = Mark::take(&r);
-        watcher.compare(addresses(&r, &|i| i != 0));
+        let from = Snapshot::take(&r);
+        monitor.compare(addresses(&r, &|i| i != 0));
         r.fleet.pause(r.balancers[0]);
-        change(&r, CHANGES, 100);
+        change(&r, CHANGE_COUNT, 100);
         sleep(Duration::from_secs(10));
         r.fleet.resume(r.balancers[0]);
         let (on, newest) = (Instant::now(), r.newest());
-        until("it follows", WITHIN, || r.lowest(&r.balancers) >= newest);
-        watcher.compare(addresses(&r, &|_| true));
+        until("it follows", WAIT_TIMEOUT, || r.lowest(&r.balancers) >= newest);
+        monitor.compare(addresses(&r, &|_| true));
         let why = format!("15 s; its last balancer level {:.2?} after it went on", on.elapsed());
-        phase("a process of balancers stopped", &r, &watcher, &from, &why);
+        finish_phase("a process of balancers stopped", &r, &monitor, &from, &why);
     }
     if wanted("apart") {
-        let from = Mark::take(&r);
+        let from = Snapshot::take(&r);
         let before = r.members();
-        watcher.compare(addresses(&r, &|i| i % 5 % 2 == 0));
+        monitor.compare(addresses(&r, &|i| i % 5 % 2 == 0));
         link.part();
         // The first region has the majority.
         let near = |r: &Rehearsal| {
-            (0..FIRST).any(|i| look(r.cluster.calls[i], "/admin/health")["leads"] == true)
+            (0..FIRST_REGION_INSTANCES)
+                .any(|i| look(r.cluster.calls[i], "/admin/health")["leads"] == true)
         };
-        let led = until("the first region leads", WITHIN, || near(&r));
-        r.leader(None, WITHIN);
+        let led = until("the first region leads", WAIT_TIMEOUT, || near(&r));
+        r.leader(None, WAIT_TIMEOUT);
         change(&r, 20, 20);
         sleep(Duration::from_millis(3 * ttl_ms));
         let first = harness::get(r.cluster.calls[0], "/admin/members", &[]).expect("a list").1;
@@ -413,21 +433,21 @@
             * (0..size.upstream_processes).filter(|i| i % 5 % 2 != 0).count();
         link.join();
         let joined = Instant::now();
-        until("all are in the list", WITHIN, || r.members() == before + 20);
+        until("all are in the list", WAIT_TIMEOUT, || r.members() == before + 20);
         let newest = r.newest();
-        until("all follow", WITHIN, || r.lowest(&r.balancers) >= newest);
+        until("all follow", WAIT_TIMEOUT, || r.lowest(&r.balancers) >= newest);
         let joined = joined.elapsed();
-        watcher.compare(addresses(&r, &|_| true));
+        monitor.compare(addresses(&r, &|_| true));
         let why = format!(
             "{} s, the first region led after {led:.2?}, its list fell to {apart} of {} ({beyond} beyond the link), the \
              least that a balancer held {held}; level {joined:.1?} after they were joined",
             3 * ttl_ms / 1000,
             before + 20,
         );
-        phase("regions apart", &r, &watcher, &from, &why);
+        finish_phase("regions apart", &r, &monitor, &from, &why);
         assert_eq!(apart, before + 20 - beyond, "the link was passed by");
     }
-    let (list, _) = r.level(WITHIN);
+    let (list, _) = r.level(WAIT_TIMEOUT);
     let ids: HashSet<&str> = list.members.iter().map(|m| m.id.as_str()).collect();
     let lost = acknowledged.iter().filter(|id| !ids.contains(id.as_str())).count();
     let upstreams = ids.iter().filter(|id| id.starts_with("u-")).count();
@@ -436,11 +456,11 @@
         acknowledged.len()
     );
     assert_eq!((lost, upstreams), (0, all));
-    Shown { members: list.members.len() as f64, quiet, changes, herd }
+    SizeResult { members: list.members.len() as f64, quiet, changes, herd }
 }
 
 /// Least squares: constant and slope.
-fn fit(points: &[(f64, f64)]) -> (f64, f64) {
+fn fit_line(points: &[(f64, f64)]) -> (f64, f64) {
     let n = points.len() as f64;
     let (x, y) = points.iter().fold((0.0, 0.0), |(a, b), (x, y)| (a + x / n, b + y / n));
     let over: f64 = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
@@ -449,11 +469,11 @@
     (y - slope * x, slope)
 }
 
-fn slopes(shown: &[Shown]) {
+fn print_slopes(results: &[SizeResult]) {
     println!(
         "\n== slopes over members (least squares), and each size as a multiple of the smallest"
     );
-    type Of = fn(&Shown) -> f64;
+    type Of = fn(&SizeResult) -> f64;
     let rows: [(&str, Of); 9] = [
         ("quiet, core % of a balancer", |s| s.quiet.core.0),
         ("quiet, bytes/s of a balancer", |s| s.quiet.bytes_a_second.0),
@@ -470,8 +490,8 @@
         ("a balancer back, us of its module", |s| s.herd.module_us.0),
     ];
     for (what, of) in rows {
-        let points: Vec<_> = shown.iter().map(|s| (s.members, of(s))).collect();
-        let (constant, slope) = fit(&points);
+        let points: Vec<_> = results.iter().map(|s| (s.members, of(s))).collect();
+        let (constant, slope) = fit_line(&points);
         let ratios: Vec<String> =
             points.iter().map(|p| format!("{:.2}", p.1 / points[0].1)).collect();
         let values: Vec<String> = points.iter().map(|p| format!("{:.3}", p.1)).collect();
@@ -479,7 +499,7 @@
     }
 }
 
-fn share(text: &str) -> f64 {
+fn parse_share(text: &str) -> f64 {
     let (over, under) = text.split_once('/').unwrap_or((text, "1"));
     over.parse::<f64>().expect("a size") / under.parse::<f64>().expect("a size")
 }
@@ -496,15 +516,15 @@
     let phases = after("--phases");
     let among = |all: &str, phase: &str| all.split(',').any(|p| p == phase);
     let last = sizes.split(',').count() - 1;
-    let play = |(i, size): (usize, &str)| {
+    let run = |(i, size): (usize, &str)| {
         let wanted = |phase: &str| match &phases {
             Some(all) => among(all, phase),
-            None => i == last || among(FOR_SLOPES, phase),
+            None => i == last || among(SLOPE_PHASES, phase),
         };
-        play(share(size), (ttl_ms, spread_ms), &wanted)
+        run_size(parse_share(size), (ttl_ms, spread_ms), &wanted)
     };
-    let shown: Vec<Shown> = sizes.split(',').enumerate().map(play).collect();
-    if shown.len() > 1 {
-        slopes(&shown);
+    let results: Vec<SizeResult> = sizes.split(',').enumerate().map(run).collect();
+    if results.len() > 1 {
+        print_slopes(&results);
     }
 }
