--- a/benches/list_capacity.rs
+++ b/benches/list_capacity.rs
@@ -1,17 +1,18 @@
-//! What the list service's instances spend by the number of members, and what a sweep and an upstream that registers
-//! cost: the slopes of docs/CAPACITY.md. Five instances as processes of the release binary, 400 watches, over loopback.
+//! Cost of the list service's instances by the number of members, and the cost of a sweep and of an upstream that
+//! registers. Measures the slopes in docs/CAPACITY.md with five instances as processes of the release binary and 400
+//! watches, over loopback.
 //!
 //! ```sh
-//! cargo bench --bench list_capacity -- instances        # registration, quiet, renewals, changes, whole lists, memory
+//! cargo bench --bench list_capacity -- instances        # registration, idle, renewals, changes, full lists, memory
 //! cargo bench --bench list_capacity -- callers          # the sweep and an upstream that registers
 //! ```
 //!
 //! Further options: `sizes=64,1024,6100` members, `watches=400`, `renewals=2000`.
 
-#[allow(dead_code)] // The tests use the rest of it.
+#[allow(dead_code)] // The integration tests use the rest.
 #[path = "../tests/harness/mod.rs"]
 mod harness;
-#[allow(dead_code)] // Each bench uses part of it.
+#[allow(dead_code)] // Each bench uses only a part.
 mod measure;
 
 use std::io::{Read, Write};
@@ -28,7 +29,7 @@
 const INSTANCES: usize = 5;
 const ZONES: usize = 5;
 const CONCURRENT_CALLERS: usize = 16;
-/// The longest: nothing lapses while it is measured.
+/// The longest TTL allowed, so that no registration expires during the measurement.
 const TTL_MS: u64 = 3_600_000;
 
 fn write(leader: SocketAddr, path: &str, body: &str) {
@@ -56,7 +57,7 @@
     write(leader, "/admin/members/renew", &json!({"id": id(i)}).to_string());
 }
 
-/// The processor time of the leader and the mean of its followers since the last look.
+/// Processor time of the instances.
 struct CpuUsage {
     pids: Vec<u32>,
     leader: usize,
@@ -64,6 +65,7 @@
 }
 
 impl CpuUsage {
+    /// Processor time since the last call, in seconds: the leader's, and the mean of the followers.
     fn since_last(&mut self) -> [f64; 2] {
         let now: Vec<f64> = self.pids.iter().map(|p| cpu_seconds(*p)).collect();
         let spent: Vec<f64> = now.iter().zip(&self.last).map(|(now, last)| now - last).collect();
@@ -73,7 +75,7 @@
     }
 }
 
-/// Watches spread over these addresses; each message's revision is told with the moment it came.
+/// Opens `n` watches spread over these addresses. The receiver gets the revision and arrival time of every message.
 fn watches(lists: &[SocketAddr], n: usize, index: u64) -> Receiver<(u64, Instant)> {
     let (sender, receiver) = channel();
     for i in 0..n {
@@ -91,7 +93,7 @@
     receiver
 }
 
-/// Waits until every watch has this revision: when the last had it.
+/// Waits until all `n` watches have received this revision and returns when the last one did.
 fn wait_for_revision(
     receiver: &Receiver<(u64, Instant)>,
     n: usize,
@@ -108,7 +110,7 @@
     last
 }
 
-/// One whole list read from a watch: its bytes.
+/// Reads one full list from a new watch and returns its size in bytes.
 fn read_full_list(at: SocketAddr) -> usize {
     let Ok(mut stream) = TcpStream::connect(at) else { return 0 };
     let _ = stream.set_read_timeout(Some(Duration::from_secs(20)));
@@ -125,7 +127,7 @@
     all
 }
 
-/// What, its unit, and the figure at each size.
+/// A measurement: its label, its unit, and its value at each size.
 type Row = (&'static str, &'static str, Vec<(f64, f64)>);
 
 fn instances(sizes: &[usize]) {
@@ -169,7 +171,7 @@
         put("quiet, leader", "% of a core", led / 4.0 * 100.0);
         put("quiet, follower", "% of a core", followed / 4.0 * 100.0);
 
-        // Each on a connection of its own, as members make them.
+        // Each renewal uses a new connection, as members do.
         let renewals = number("renewals", 2000);
         spent.since_last();
         let took = run_in_parallel(CONCURRENT_CALLERS, renewals, |i| renew(at, i % n));
@@ -198,7 +200,7 @@
         put("quiet with 400 watches, follower", "% of a core", followed / 6.0 * 100.0);
         put("a quiet watch", "B/s", (relay.bytes().1 - bytes) as f64 / 6.0);
 
-        // One change after the other, and to the last watch.
+        // Single changes in sequence: their cost and the time until the last watch receives each.
         const CHANGES: usize = 40;
         let (mut waits, bytes) = (Vec::new(), relay.bytes().1);
         spent.since_last();
@@ -220,7 +222,7 @@
         put("a change at the last watch, most", "ms", waits[CHANGES - 1]);
         put("a change", "B a watch", (relay.bytes().1 - bytes) as f64 / CHANGES as f64);
 
-        // A zone: a fifth of the members, as fast as they are taken.
+        // A zone (a fifth of the members) drains, written as fast as the leader accepts it.
         let (zone, bytes) = (n / ZONES, relay.bytes().1);
         spent.since_last();
         let from = Instant::now();
@@ -237,7 +239,7 @@
         put("a zone's changes", "kB a watch", (relay.bytes().1 - bytes) as f64 / 1e3);
         drop((receiver, one));
 
-        // Everybody asks for the whole list at once.
+        // All watchers request the full list at the same time.
         spent.since_last();
         let from = Instant::now();
         let bytes: usize = thread::scope(|s| {
@@ -253,7 +255,7 @@
         put("memory, leader, at most", "MB", rss("VmHWM")[0]);
         put("memory, follower, at most", "MB", rss("VmHWM")[1]);
 
-        // What the sweep reads.
+        // The members endpoint that the sweep reads.
         let (other, reads) = ((leader + 1) % INSTANCES, 20);
         let before = cpu_seconds(pids[other]);
         let read = |_| get(cluster.calls[other], "/admin/members", &[]).map_or(0, |a| a.1.len());
@@ -310,7 +312,7 @@
 }
 
 fn main() {
-    // `cargo test --benches` starts it without.
+    // `cargo test --benches` runs this without `--bench`.
     if !std::env::args().any(|a| a == "--bench") {
         return;
     }
--- a/benches/list_client.rs
+++ b/benches/list_client.rs
@@ -1,6 +1,6 @@
-//! What a proxy pays for news of its list, by the number of members: one changed entry, and a whole list. Beside
-//! criterion's own figures it prints, to standard error, each cost as a multiple of that at 64 members in this run: 4
-//! and 16 would be in step with the fleet.
+//! Cost of list updates in a proxy by the number of members: one changed entry, and a full list. In addition to
+//! criterion's results it prints, to standard error, each cost as a multiple of the cost at 64 members in the same run.
+//! Multiples of 4 and 16 mean that the cost is proportional to the fleet.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -26,7 +26,7 @@
     serde_json::to_vec_pretty(&list).unwrap_or_default()
 }
 
-/// Reads a list as it comes from the socket, in pieces.
+/// Parses a list that arrives in chunks, as from a socket, and returns the number of members.
 fn read(bytes: &[u8]) -> usize {
     let mut objects = Objects::new(4 << 20);
     for piece in bytes.chunks(8 << 10) {
@@ -38,7 +38,7 @@
     0
 }
 
-/// The module with a fleet of `n`, told of changes.
+/// A policy with a fleet of `n` upstreams that receives list updates.
 struct PolicyHarness {
     balancer: Balancer,
     fleet: Vec<Member>,
@@ -78,7 +78,7 @@
     }
 }
 
-/// The median time of a run, in microseconds.
+/// The median duration of a run, in microseconds.
 fn median(mut run: impl FnMut() -> usize) -> f64 {
     let mut all: Vec<f64> = (0..RUNS)
         .map(|_| {
--- a/benches/list_service.rs
+++ b/benches/list_service.rs
@@ -1,8 +1,8 @@
-//! The list service as three processes: how long a change takes to reach 300 watches, how long a killed writer is
-//! missed, what a watch costs in memory, and what a duty costs in renewals. Beside criterion's own figures, each
-//! prints the percentiles asked for in docs/ROADMAP.md to standard error.
+//! The list service as three processes: how long a change takes to reach 300 watches, how long failover takes after the
+//! leader is killed, the memory of a watch, and the renewals of a duty. In addition to criterion's results, each bench
+//! prints the percentiles required by docs/ROADMAP.md to standard error.
 
-#[allow(dead_code)] // The tests use the rest of it.
+#[allow(dead_code)] // The integration tests use the rest.
 #[path = "../tests/harness/mod.rs"]
 mod harness;
 
@@ -27,7 +27,7 @@
     (0..MEMBERS).map(member).collect()
 }
 
-/// Watches spread over the instances; each message's revision is told with the moment it came.
+/// Opens watches spread over the instances. The receiver gets the revision and arrival time of every message.
 fn watches(cluster: &Cluster, index: u64) -> Receiver<(u64, Instant)> {
     let (sender, receiver) = channel();
     for i in 0..WATCHES {
@@ -57,7 +57,7 @@
 
 fn print_percentiles(what: &str, mut all: Vec<Duration>) {
     if all.is_empty() {
-        return; // Filtered out.
+        return; // The bench was filtered out.
     }
     all.sort();
     let at = |p: f64| all[((all.len() - 1) as f64 * p) as usize];
--- a/benches/measure/mod.rs
+++ b/benches/measure/mod.rs
@@ -1,5 +1,5 @@
-//! What the benches of docs/CAPACITY.md share: processor time and memory of a process, bytes on a connection, lines
-//! fitted through sizes, and options of the command line.
+//! Shared code of the benches behind docs/CAPACITY.md: processor time and memory of a process, bytes on a connection,
+//! linear fits over sizes, and command line options.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -8,13 +8,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Processor time of all threads so far, in seconds: `/proc/PID/task/*/schedstat`, where the system keeps it to the
-/// nanosecond; `/proc/PID/stat` counts in steps of 10 ms, too coarse for 1% of a core.
+/// Processor time of all threads of a process so far, in seconds. Read from `/proc/PID/task/*/schedstat`, which counts
+/// in nanoseconds; `/proc/PID/stat` counts in steps of 10 ms, too coarse to measure 1% of a core.
 pub fn cpu_seconds(pid: u32) -> f64 {
     schedstat_seconds(pid, 0)
 }
 
-/// How long its threads were ready to run and had no processor so far, in seconds: what the machine adds.
+/// How long the threads of a process were runnable but waiting for a processor so far, in seconds: the delay caused by
+/// load on the machine.
 pub fn runnable_wait_seconds(pid: u32) -> f64 {
     schedstat_seconds(pid, 1)
 }
@@ -28,7 +29,7 @@
     tasks.map(|t| t.flatten().filter_map(of).sum::<f64>()).unwrap_or(0.0) / 1e9
 }
 
-/// A line of `/proc/PID/status` in MB (10^6 bytes): `VmRSS` now, `VmHWM` at most so far.
+/// A line of `/proc/PID/status` in MB (10^6 bytes): `VmRSS` for current and `VmHWM` for peak resident memory.
 pub fn memory_mb(pid: u32, line: &str) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix(line)?.strip_prefix(':'));
@@ -36,7 +37,8 @@
     kib.unwrap_or(0.0) * 1024.0 / 1e6
 }
 
-/// Processor seconds of a process for each second of the time that `run` takes; and what it returned.
+/// Runs `run` and returns the processor time of process `pid` meanwhile, the elapsed time (both in seconds), and the
+/// result of `run`.
 pub fn measure_cpu<T>(pid: u32, run: impl FnOnce() -> T) -> (f64, f64, T) {
     let (from, before) = (Instant::now(), cpu_seconds(pid));
     let done = run();
@@ -44,7 +46,7 @@
     (spent, took, done)
 }
 
-/// The line through these points with the least squares: what there is at 0, and the slope.
+/// Linear least-squares fit: the value at 0 and the slope.
 pub fn fit_line(points: &[(f64, f64)]) -> (f64, f64) {
     let n = points.len() as f64;
     let (x, y) = points.iter().fold((0.0, 0.0), |(x, y), p| (x + p.0 / n, y + p.1 / n));
@@ -54,7 +56,7 @@
     (y - slope * x, slope)
 }
 
-/// Prints a figure at each size, as multiples of the first, and its line.
+/// Prints a measurement at each size, its linear fit, and the ratios to the first size.
 pub fn print_scaling(what: &str, unit: &str, points: &[(f64, f64)]) {
     let (constant, slope) = fit_line(points);
     let each: Vec<String> = points.iter().map(|(x, y)| format!("{y:.3} at {x}")).collect();
@@ -67,35 +69,35 @@
     );
 }
 
-/// The value of the argument `name=value`, if it is given.
+/// The value of the command line argument `name=value`, if present.
 pub fn option(name: &str) -> Option<String> {
     std::env::args().find_map(|a| Some(a.strip_prefix(name)?.strip_prefix('=')?.to_owned()))
 }
 
-/// The same as a number.
+/// The value of [`option`] as a number.
 pub fn number(name: &str, default: usize) -> usize {
     option(name).map_or(default, |v| v.parse().expect("a number"))
 }
 
-/// The same as numbers with commas between.
+/// The value of the option `sizes`, a comma-separated list of numbers.
 pub fn sizes(default: &[usize]) -> Vec<usize> {
     let read = |v: String| v.split(',').map(|n| n.parse().expect("a number")).collect();
     option("sizes").map_or(default.to_vec(), read)
 }
 
-/// Whether this part is asked for; all are where none is.
+/// Whether this part of the bench is selected on the command line. Without a selection all parts run.
 pub fn is_selected(part: &str) -> bool {
     let parts: Vec<String> =
         std::env::args().skip(1).filter(|a| !a.starts_with('-') && !a.contains('=')).collect();
     parts.is_empty() || parts.iter().any(|p| p == part)
 }
 
-/// Passes connections on to another address and counts the bytes, without those of TCP and IP.
+/// Forwards connections to another address and counts the payload bytes, without TCP and IP overhead.
 pub struct Relay {
     pub address: SocketAddr,
-    /// From who connects.
+    /// Bytes sent by the connecting side.
     pub out: Arc<AtomicU64>,
-    /// To who connects.
+    /// Bytes sent to the connecting side.
     pub back: Arc<AtomicU64>,
     pub connections: Arc<AtomicU64>,
 }
@@ -137,7 +139,7 @@
     }
 }
 
-/// Does `run` on so many threads, the numbers up to `count` shared out; how long it took.
+/// Calls `run` for every number below `count`, distributed over `threads` threads, and returns the elapsed time.
 pub fn run_in_parallel(threads: usize, count: usize, run: impl Fn(usize) + Sync) -> Duration {
     let from = Instant::now();
     thread::scope(|s| {
--- a/benches/recovery.rs
+++ b/benches/recovery.rs
@@ -1,7 +1,7 @@
-//! The durable store: how fast a process serves again over a long log, how much is written a second with a sync for
-//! each batch, how fast records are checked, and how much a member takes on disk.
+//! The durable store: time to serve the first list after a start with a long log, write throughput with a sync for each
+//! batch, speed of checking records, and size of a member on disk.
 
-#[allow(dead_code)] // The tests use the rest of it.
+#[allow(dead_code)] // The integration tests use the rest.
 #[path = "../tests/harness/mod.rs"]
 mod harness;
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// An instance that is alone and has carried out so many writes, and the records it kept of them.
+/// A single-instance replica that has applied this many writes, and the records it persisted for them.
 fn replica_after_writes(writes: u64) -> (Replica, Vec<Vec<u8>>) {
     let storage = RaftStorage::new(vec![1]);
     let retry_after = Duration::from_secs(1);
@@ -62,6 +62,7 @@
     (replica, records)
 }
 
+/// Writes the records as a log file in `dir` and returns its contents.
 fn write_log(dir: &Path, records: &[Vec<u8>]) -> Vec<u8> {
     let mut data = Vec::new();
     for (i, payload) in records.iter().enumerate() {
--- a/benches/routing.rs
+++ b/benches/routing.rs
@@ -1,6 +1,6 @@
-//! What finding a request's route costs, and building the table, by the count of routes. Beside criterion's own figures
-//! it prints, to standard error, each as a multiple of that at 11 routes in this run, the look-ups of hash tables that
-//! a request took, and by how much a table made the process's resident memory grow: 0 where freed memory was enough.
+//! Cost of finding a request's route and of building the route table, by the number of routes. In addition to
+//! criterion's results it prints to standard error: each cost as a multiple of the cost at 11 routes in the same run,
+//! the hash table look-ups per request, and the growth of resident memory per table (0 if freed memory was reused).
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -15,7 +15,8 @@
 const REQUESTS: usize = 1_000;
 const RUNS: usize = 201;
 
-/// Of each eleven routes, six lead from three hosts with two prefixes each, two from wildcards, three from any host.
+/// Route number `i`. Of every eleven routes, six are for three hosts with two prefixes each, two for wildcard hosts, and
+/// three for any host.
 fn route(i: usize) -> Route {
     let (group, service) = (i / 11, format!("service-{}", i % SERVICES));
     let (host, prefix) = match i % 11 {
@@ -26,7 +27,7 @@
     Route { host, prefix, service }
 }
 
-/// Requests for routes all over the table, each tenth for none.
+/// Requests for random routes of the table; every tenth matches no route.
 fn requests(n: usize) -> Vec<(String, String)> {
     let mut random = StdRng::seed_from_u64(28);
     let request = |at| {
@@ -43,14 +44,14 @@
     (0..REQUESTS).map(request).collect()
 }
 
-/// What of this process is in memory, in KiB, as the kernel tells it.
+/// Resident memory of this process in KiB, as reported by the kernel.
 fn resident_kib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|l| l.starts_with("VmRSS:")).unwrap_or_default();
     line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).unwrap_or_default()
 }
 
-/// The median time of a run, in microseconds.
+/// The median duration of a run, in microseconds.
 fn median(mut run: impl FnMut() -> usize) -> f64 {
     let mut all: Vec<f64> = (0..RUNS)
         .map(|_| {
@@ -70,7 +71,7 @@
         let routes: Vec<Route> = (0..n).map(route).collect();
         let requests = requests(n);
         let build = || RouteTable::new(&routes, &services).expect("sound routes");
-        // Eight, so that what is left of earlier ones in the allocator matters less.
+        // Eight tables, to reduce the effect of memory that the allocator kept from earlier tables.
         let before = resident_kib();
         let tables: Vec<RouteTable> = (0..8).map(|_| build()).collect();
         let kib = resident_kib().saturating_sub(before) as f64 / 8.0;
