--- a/benches/balancer.rs
+++ b/benches/balancer.rs
@@ -1,22 +1,22 @@
-//! What one proxy process spends on control and adds to requests, by the size of its list: the slopes of
-//! docs/CAPACITY.md, on the release binary over loopback. All sizes of one run are measured in it, so that their
-//! ratios hold on a machine of any speed.
+//! Control cost and added latency of one proxy process by the size of its list: the slopes in docs/CAPACITY.md, measured
+//! on the release binary over loopback. All sizes are measured in the same run, so that their ratios do not depend on
+//! the speed of the machine.
 //!
 //! ```sh
-//! cargo bench --bench balancer -- control               # quiet, one change, a zone's, a whole list, a scrape, memory
-//! cargo bench --bench balancer -- requests              # time added beside direct requests, quiet and amid changes
-//! cargo bench --bench balancer -- routes                # a start, a request and a reload by the number of routes
-//! cargo bench --bench balancer -- tenants               # a request's processor time by the number of tenants
-//! cargo bench --bench balancer -- control services=210  # the same members in so many services
+//! cargo bench --bench balancer -- control               # idle, one change, a zone's, a full list, a scrape, memory
+//! cargo bench --bench balancer -- requests              # latency added to direct requests, idle and during changes
+//! cargo bench --bench balancer -- routes                # start, request and reload by the number of routes
+//! cargo bench --bench balancer -- tenants               # processor time of a request by the number of tenants
+//! cargo bench --bench balancer -- control services=210  # the same members spread over 210 services
 //! ```
 //!
-//! Further options: `sizes=64,1024,6100` members, `aim=2000` the least aim of a class in ms, `seconds=8`, `rate=300`
-//! requests a second, `clients=32`, `repeats=3`, `routes=210`, `tenants=31000`.
+//! Further options: `sizes=64,1024,6100` members, `aim=2000` the smallest `Aim` of a class in ms, `seconds=8`,
+//! `rate=300` requests per second, `clients=32`, `repeats=3`, `routes=210`, `tenants=31000`.
 
-#[allow(dead_code)] // The tests use the rest of it.
+#[allow(dead_code)] // The integration tests use the rest.
 #[path = "../tests/harness/mod.rs"]
 mod harness;
-#[allow(dead_code)] // Each bench uses part of it.
+#[allow(dead_code)] // Each bench uses only a part.
 mod measure;
 
 use std::io::{Read, Write};
@@ -36,18 +36,18 @@
 const ZONES: usize = 5;
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How many of the services have upstreams: each that has some has one in every zone at least.
+/// How many of the services have upstreams. A service with upstreams has at least one in every zone.
 fn populated(n: usize, services: usize) -> usize {
     services.min(n / ZONES).max(1)
 }
 
-/// The zone of a member; a service's are spread over all.
+/// The zone of member `i`. The members of each service are spread over all zones.
 fn zone(n: usize, services: usize, i: usize) -> usize {
     let populated = populated(n, services);
     (i % populated + i / populated) % ZONES
 }
 
-/// Members spread evenly over services, zones and the stand-ins that answer for all of them.
+/// The TOML of `n` members, spread evenly over services, zones and the stand-ins that answer for them.
 fn members(n: usize, upstreams: &[SocketAddr], services: usize) -> String {
     let member = |i: usize| {
         let service = match services {
@@ -64,7 +64,7 @@
     (0..n).map(member).collect()
 }
 
-/// The file of a proxy that is one of 400.
+/// The configuration of a proxy that is one of 400.
 fn proxy_config(discovery: SocketAddr, services: usize, routes: usize, tenants: usize) -> Value {
     let text = include_str!("../examples/proxy.json");
     let mut file: Value = serde_json::from_str(text).expect("the example");
@@ -85,7 +85,7 @@
         file["settings"]["Tenants"] = (0..tenants).map(tenant).collect();
     }
     if services > 1 {
-        // Each states its classes, and the tenants where there are any; the rest is the balancer's.
+        // Each service has its own classes and, if there are any, tenants; other settings are the balancer's.
         let mut settings = json!({"Services": file["settings"]["Services"]});
         if tenants > 0 {
             settings["Tenants"] = file["settings"]["Tenants"].clone();
@@ -106,25 +106,25 @@
     (0..routes).map(route).collect()
 }
 
-/// The host and the prefix of a route.
+/// The host and path prefix of route `i`.
 fn route(services: usize, i: usize) -> (String, String) {
     (format!("service-{}.test", i % services), format!("/{}", i / services))
 }
 
-/// Writes a member's phase at this management address of a list service that is alone.
+/// Sets a member's phase at the management address of a single-instance list service.
 fn set_phase(calls: SocketAddr, i: usize, phase: &str) {
     let body = json!({"id": format!("s-{i:08x}"), "phase": phase}).to_string();
     let answer = post(calls, "/admin/members/phase", &body);
     assert_eq!(answer.map(|a| a.0), Some(200), "{body}");
 }
 
-/// A list service, a relay that counts, and one proxy.
+/// A list service, one proxy, and a relay between them that counts bytes.
 struct Bench {
     fleet: Fleet,
     n: usize,
     services: usize,
     routes: usize,
-    /// Where the list is written.
+    /// Management address of the list service.
     list: SocketAddr,
     relay: Relay,
     proxy: usize,
@@ -170,12 +170,12 @@
         self.fleet.address(self.proxy)
     }
 
-    /// The members of the first zone.
+    /// Indices of the members of the first zone.
     fn zone(&self) -> Vec<usize> {
         (0..self.n).filter(|i| zone(self.n, self.services, *i) == 0).collect()
     }
 
-    /// The host and path of a request for one of the routes to services that have upstreams.
+    /// The host and path of a request for a random route to a service that has upstreams.
     fn target(&self, random: &mut oorandom::Rand64) -> (String, String) {
         if self.services <= 1 {
             return ("a".to_owned(), "/api/stock".to_owned());
@@ -189,7 +189,8 @@
         }
     }
 
-    /// Waits until the proxy has been told nothing more and spends nothing more than when it is quiet.
+    /// Waits until the proxy receives no more updates and uses no more processor time than when idle. `quiet` is the
+    /// idle share of a core.
     fn wait_until_settled(&self, quiet: f64) {
         let mut before = (self.relay.bytes().1, cpu_seconds(self.pid));
         until("settled", START_TIMEOUT, || {
@@ -246,7 +247,7 @@
     line("quiet, both ways", "B/s", &beats);
     line("memory, quiet", "MB", &all.iter().map(|b| memory_mb(b.pid, "VmRSS")).collect::<Vec<_>>());
 
-    // One change after the other, each told alone.
+    // Single changes in sequence, each sent as its own update.
     let (mut cost, mut told) = (Vec::new(), Vec::new());
     const CHANGES: usize = 60;
     for (bench, quiet) in all.iter().zip(&quiet) {
@@ -263,7 +264,7 @@
     line("one change, processor time", "ms", &cost);
     line("one change", "B", &told);
 
-    // A fifth of the members drains at once, and comes back.
+    // A fifth of the members drains at once and then serves again.
     let (mut cost, mut took, mut told) = (Vec::new(), Vec::new(), Vec::new());
     for (bench, quiet) in all.iter().zip(&quiet) {
         let (from, zone, list) = (bench.relay.bytes().1, bench.zone(), bench.list);
@@ -282,7 +283,7 @@
     line("a zone's changes", "B", &told);
     line("a zone's changes, written in", "s", &took);
 
-    // A whole list anew: SIGHUP makes the proxy ask for it from nothing.
+    // Full lists: on SIGHUP the proxy requests the full list again.
     let (mut cost, mut told) = (Vec::new(), Vec::new());
     const WHOLE: usize = 8;
     for (bench, quiet) in all.iter().zip(&quiet) {
@@ -302,7 +303,7 @@
     let peak = |b: &Bench| memory_mb(b.pid, "VmHWM");
     line("memory, at most by then", "MB", &all.iter().map(peak).collect::<Vec<_>>());
 
-    // What operators and releases read, and what it costs the release's controller to take in.
+    // The metrics that operators and releases read, and the cost of parsing them in the release's controller.
     let (mut cost, mut size, mut taken) = (Vec::new(), Vec::new(), Vec::new());
     const SCRAPES: usize = 3;
     for (bench, quiet) in all.iter().zip(&quiet) {
@@ -324,7 +325,7 @@
     line("memory, at most by then", "MB", &all.iter().map(peak).collect::<Vec<_>>());
     line("memory, then", "MB", &all.iter().map(|b| memory_mb(b.pid, "VmRSS")).collect::<Vec<_>>());
 
-    // Members replaced by others: what is left of those that are gone.
+    // Members are added and removed: how much memory remains in use afterwards.
     let replaced = number("replaced", 1000);
     let Some(bench) = all.last() else { return };
     let before = memory_mb(bench.pid, "VmRSS");
@@ -348,7 +349,7 @@
         quiet.last().copied().unwrap_or(0.0) * 100.0
     );
 
-    // Another process takes over, as for any change of what a proxy reads at its start.
+    // Another process takes over, as for any change of settings that a proxy reads only when it starts.
     let mut took: [Vec<f64>; 2] = Default::default();
     for bench in &mut all {
         let (from, calls) = (Instant::now(), free());
@@ -366,7 +367,7 @@
     line("a takeover, until one has gone", "ms", &took[1]);
 }
 
-/// One answer read from a connection; whether it is whole.
+/// Reads one response from a connection. Returns its status, or `None` if it is incomplete or malformed.
 fn read_status(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<u16> {
     buffer.clear();
     let mut piece = [0; 4096];
@@ -389,14 +390,14 @@
     Some(stream)
 }
 
-/// One answered request, in milliseconds.
+/// Timing of one answered request, in milliseconds.
 #[derive(Clone, Copy)]
 struct Sample {
-    /// When it was due, since the drive began.
+    /// When it was due, since the start of the load.
     due: f64,
-    /// How much later than due its client sent it: the bench's own share.
+    /// How much later than due the client sent it: the delay caused by the bench itself.
     late: f64,
-    /// From its sending to the last byte of its answer.
+    /// From sending the request to the last byte of its response.
     took: f64,
 }
 
@@ -408,13 +409,13 @@
 
 #[derive(Default)]
 struct LoadResult {
-    /// Those that were answered 200.
+    /// Requests answered with 200.
     answered: Vec<Sample>,
     failed: usize,
 }
 
 impl LoadResult {
-    /// A figure of the requests that were due while `when` holds, sorted.
+    /// A figure of every answered request whose due time satisfies `when`, sorted.
     fn sorted(&self, when: impl Fn(f64) -> bool, figure: impl Fn(&Sample) -> f64) -> Vec<f64> {
         let asked = self.answered.iter().filter(|s| when(s.due));
         let mut all: Vec<f64> = asked.map(figure).collect();
@@ -423,7 +424,7 @@
     }
 }
 
-/// Requests with exponential gaps by so many clients, the first at the first address and so on.
+/// Sends requests with exponentially distributed gaps from several clients, which are assigned to the addresses in turn.
 fn run_load(
     at: &[SocketAddr],
     keep_alive: bool,
@@ -487,7 +488,7 @@
     times.get(((times.len().max(1) - 1) as f64 * quantile) as usize).copied().unwrap_or(f64::NAN)
 }
 
-/// The mean of the repeats, and between which they lie.
+/// The mean of the repeats with their minimum and maximum.
 fn spread(figures: &[f64]) -> String {
     let mean = figures.iter().sum::<f64>() / figures.len().max(1) as f64;
     let least = figures.iter().copied().fold(f64::INFINITY, f64::min);
@@ -495,7 +496,7 @@
     format!("{mean:.2} ({least:.2} to {most:.2})")
 }
 
-/// How many upstreams have served something, and how many attempts.
+/// The number of upstreams that served at least one attempt, and the number of attempts served.
 fn used_upstreams(bench: &Bench) -> (usize, f64) {
     let (_, text) = harness::get(bench.calls, "/metrics", &[]).unwrap_or_default();
     let served = |l: &&str| l.starts_with("upstream_attempts_total") && l.contains("served");
@@ -503,26 +504,27 @@
     counts.filter(|n: &f64| *n > 0.0).fold((0, 0.0), |(u, all), n| (u + 1, all + n))
 }
 
-/// What comes of the list while requests are measured.
+/// Changes of the list while requests are measured.
 #[derive(Clone, Copy, PartialEq)]
 enum Changes {
     None,
-    /// A member drains or comes back each second.
+    /// Every second one member drains or serves again.
     Single,
-    /// A zone's members drain at once, or come back, in turn.
+    /// All members of a zone drain or serve again at once, alternately.
     Zone,
 }
 
-/// From one change of a zone to the next, in seconds; the sizes have theirs a quarter of it apart.
+/// Interval between changes of a zone, in seconds. The sizes are offset from one another by a quarter of it.
 const ZONE_EVERY: f64 = 4.0;
 
-/// When the changes of the zone begin, in milliseconds since the drive began.
+/// When the changes of the zone begin, in milliseconds since the start of the load.
 fn zone_times(place: usize, seconds: f64) -> Vec<f64> {
     let times = (0..).map(|k| (0.5 + place as f64 + f64::from(k) * ZONE_EVERY) * 1e3);
     times.take_while(|t| *t < (seconds - 1.0) * 1e3).collect()
 }
 
-/// Writes them until the drive is over, and leaves all members serving. How long each zone's took to write, in ms.
+/// Writes the changes until the load is over and leaves all members serving. Returns how long each change of a zone took
+/// to write, in milliseconds.
 fn change(
     bench: &Bench,
     changes: Changes,
@@ -556,15 +558,15 @@
     wrote
 }
 
-/// Requests through a proxy of each size and directly to the stand-ins, all at the same time, so that what the machine
-/// adds is added to all of them.
+/// Sends requests through a proxy of each size and directly to the stand-ins, all at the same time, so that delays caused
+/// by the machine affect all of them alike.
 fn requests(sizes: &[usize]) {
     let mut fleet = Fleet::default();
     let upstreams = start_stand_ins(&mut fleet);
     let all: Vec<Bench> = sizes.iter().map(|n| Bench::start(*n, &upstreams, 0)).collect();
     let seconds = number("seconds", 12) as f64;
     let direct = |_: &mut oorandom::Rand64| ("a".to_owned(), "/api/stock".to_owned());
-    // A new proxy's first requests are another matter (docs/open.md).
+    // Warm-up: the first requests of a new proxy behave differently (docs/open.md) and are not measured.
     for (round, keep_alive) in [true, false].into_iter().enumerate() {
         thread::scope(|s| {
             for bench in &all {
@@ -588,7 +590,8 @@
                     Changes::Zone => "a zone's changes every 4 s",
                 }
             );
-            // By size: added at p50 and p99, and at p99 since due; the same near a zone's changes; by repeat.
+            // For each size and repeat: latency added at p50, at p99, at p99 since due, and at p99 within 1 s after the
+            // start of a zone's changes.
             let mut added: Vec<[Vec<f64>; 4]> = all.iter().map(|_| Default::default()).collect();
             let mut beside: [Vec<f64>; 2] = Default::default();
             for repeat in 0..number("repeats", 3) {
@@ -705,7 +708,8 @@
     }
 }
 
-/// Answers one after the other on one connection for so long: when each was whole, and how many were not 200.
+/// Sends requests one at a time on one connection for this time. Returns when each response was complete and how many
+/// were not 200.
 fn request_sequentially(bench: &Bench, seconds: f64) -> (Vec<Instant>, usize) {
     let (begin, mut random) = (Instant::now(), oorandom::Rand64::new(7));
     let (mut times, mut failed, mut held, mut buffer) = (Vec::new(), 0, None, Vec::new());
@@ -728,19 +732,20 @@
     (times, failed)
 }
 
-/// The longest time without an answer that ends within these, in milliseconds.
+/// The longest time between two responses that ends in this interval, in milliseconds.
 fn longest_gap_ms(times: &[Instant], from: Instant, until: Instant) -> f64 {
     let ends = times.windows(2).filter(|w| w[1] >= from && w[1] < until);
     ends.map(|w| (w[1] - w[0]).as_secs_f64() * 1e3).fold(0.0, f64::max)
 }
 
-/// A whole proxy by its routes: its start, memory, what a request costs, and how long SIGHUP holds its thread.
+/// Measures a proxy by its number of routes: start, memory, processor time of a request, and how long a SIGHUP blocks its
+/// thread.
 fn routes(n: usize) {
     let mut fleet = Fleet::default();
     let upstreams = start_stand_ins(&mut fleet);
     let services = number("services", 210);
     let most = number("routes", 11_000);
-    // The last tells what the list has in a reload.
+    // The last one shows the effect of the list's size on a reload.
     let shapes = [(n, 11), (n, most / 10), (n, most), (SIZES[0], most)];
     let mut all: Vec<Bench> = shapes
         .iter()
@@ -750,7 +755,7 @@
     let count = |b: &Bench| (b.routes as f64) + if b.n == n { 0.0 } else { 0.5 };
     let line = |what: &str, unit: &str, all: &[Bench], figures: &[f64]| {
         let points: Vec<_> = all.iter().map(count).zip(figures.iter().copied()).collect();
-        // The last is another size of list.
+        // The last one has a list of another size and is not part of the fit.
         measure::print_scaling(what, unit, &points[..3]);
         println!("  with {}: {:.3} {unit}", name(&all[3]), points[3].1);
     };
@@ -769,7 +774,7 @@
     line("memory, quiet", "MB", &all, &resident(&all, "VmRSS"));
     line("memory, at most", "MB", &all, &resident(&all, "VmHWM"));
 
-    // Requests to all at the same time, after what is another matter in the first ones.
+    // Requests to all proxies at the same time, after a warm-up, since the first requests behave differently.
     let drive_all = |seconds: f64, seed: usize| -> Vec<LoadResult> {
         thread::scope(|s| {
             let driven: Vec<_> = all
@@ -809,7 +814,7 @@
         println!("= {}: a request, us of processor time: {}", name(b), spread(cost));
     }
 
-    // Each SIGHUP finds one route more or one less than the last.
+    // Each SIGHUP adds or removes one route.
     const RELOADS: usize = 8;
     const EVERY: Duration = Duration::from_millis(600);
     let (mut held, mut busy) = (Vec::new(), Vec::new());
@@ -822,7 +827,7 @@
         };
         let texts = [with(b.routes + 1), with(b.routes)];
         let added = route(services, b.routes);
-        // Without a class it is malformed where there is a route, and not found where there is none.
+        // A request without a class gets 400 if the route exists and 404 if not.
         let is_routed = || {
             let target = format!("http://{}{}", added.0, added.1);
             harness::get(b.address(), &target, &[]).map(|a| a.0)
@@ -849,8 +854,8 @@
             let (times, failed) = asking.join().expect("asked");
             (times, failed, quiet, reloads)
         });
-        // Without requests, for who asks one by one asks less meanwhile.
-        // Services that were asked settle first.
+        // Processor time of reloads is measured without requests, because a sequential client sends fewer of them during
+        // reloads. Services that received requests settle first.
         sleep(10 * EVERY);
         let (idle, over, ()) = measure_cpu(b.pid, || sleep(2 * EVERY));
         let (spent, took, ()) = measure_cpu(b.pid, || {
@@ -879,7 +884,7 @@
     line("memory after reloads", "MB", &all, &resident(&all, "VmRSS"));
     line("memory after reloads, at most", "MB", &all, &resident(&all, "VmHWM"));
 
-    // A new process, as a change that takes a restart.
+    // A new process takes over, as for a change that needs a restart.
     let mut took = Vec::new();
     for b in &mut all {
         let mut each = Vec::new();
@@ -929,7 +934,7 @@
 }
 
 fn main() {
-    // `cargo test --benches` starts it without.
+    // `cargo test --benches` runs this without `--bench`.
     if !std::env::args().any(|a| a == "--bench") {
         return;
     }
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -1,13 +1,14 @@
-//! The fleet at its size in hollow processes: `cargo bench --bench scale -- --size 1/16,1/4,1/2,1`.
+//! The fleet at full scale in simulated processes: `cargo bench --bench scale -- --size 1/16,1/4,1/2,1`.
 //!
-//! Of the whole size (1): 400 balancers, 6,100 upstreams with TTL in 210 services, five instances of the list service in
-//! two regions (three and two) with a link between, through a quiet time, single changes, a leader killed, a zone gone
-//! and back, all balancers back at once, a process of balancers stopped and gone on, and the regions apart. Each phase
-//! prints what a balancer paid beside its budget; several sizes in one run print the slopes.
+//! The full size (1) has 400 balancers, 6,100 upstreams with TTL in 210 services, and five instances of the list service
+//! in two regions (three and two) connected by a link. The phases are: an idle period, single changes, a killed leader,
+//! loss and return of a zone, reconnection of all balancers at once, a process of balancers paused and resumed, and a
+//! partition between the regions. Each phase prints the cost of a balancer and its budget; a run with several sizes also
+//! prints the slopes.
 //!
-//! Sizes before the last play only what the slopes need. `--ttl-ms` sets the TTL of the upstreams (30000), `--spread-ms`
-//! the time within which those of the whole size start (60000; a part of the size takes its part of it); `--phases` names
-//! the phases to play after the start: quiet, changes, leader, zone, herd, stopped, apart.
+//! Sizes before the last run only the phases that the slopes need. `--ttl-ms` sets the TTL of the upstreams (30000).
+//! `--spread-ms` sets the time over which the upstreams of the full size start (60000; smaller sizes take a proportional
+//! part). `--phases` selects the phases to run after the start: quiet, changes, leader, zone, herd, stopped, apart.
 
 #[path = "../tests/harness/mod.rs"]
 #[allow(dead_code)]
@@ -27,23 +28,23 @@
 use rehearsal::relay::Link;
 use rehearsal::{Counts, Region, Rehearsal, Size, ZONES};
 
-/// What the operators allow: the newest revision everywhere, in seconds; of a balancer's control: share of a core in
-/// percent, MB, and bytes a second.
+/// Budgets set by the operators: the time until every balancer has the newest revision, in seconds; and for the control
+/// part of a balancer its share of a core in percent, its memory in MB, and its bytes per second.
 const MAX_LAG_SECONDS: f64 = 13.0;
 const MAX_CORE_PERCENT: f64 = 1.0;
 const MAX_MEMORY_MB: f64 = 64.0;
 const MAX_BYTES_PER_SECOND: f64 = 3000.0;
-/// For each wait.
+/// Timeout of each wait.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(240);
 const QUIET_DURATION: Duration = Duration::from_secs(20);
 const CHANGE_COUNT: usize = 50;
-/// Phases that sizes before the last play.
+/// Phases that sizes before the last run.
 const SLOPE_PHASES: &str = "quiet,changes,herd";
-/// Instances, and those of them in the first region.
+/// Instances of the list service, and how many of them are in the first region.
 const INSTANCES: usize = 5;
 const FIRST_REGION_INSTANCES: usize = 3;
 
-/// Compares what is newest at the list service with the lowest of all balancers ten times a second.
+/// Compares the newest revision of the list service with the lowest of all balancers ten times a second.
 struct LagMonitor {
     state: Arc<Mutex<LagState>>,
     stop: Arc<AtomicBool>,
@@ -52,7 +53,7 @@
 
 #[derive(Default)]
 struct LagState {
-    /// Processes of balancers that are compared.
+    /// Addresses of the balancer processes that are compared.
     balancers: Vec<SocketAddr>,
     waiting: VecDeque<(Instant, u64)>,
     newest: u64,
@@ -71,7 +72,7 @@
                 let newest = services.iter().map(|at| newest(*at)).max().unwrap_or(0);
                 let balancers = shared.lock().expect("a state").balancers.clone();
                 let lowest = |at| look(at, "/admin/stats")["balancers"]["lowest_revision"].as_u64();
-                // A process without running balancers says 0: it has nobody who waits.
+                // A process without running balancers reports 0 and is skipped, since none of its balancers waits.
                 let lowest = balancers.iter().filter_map(|at| lowest(*at)).filter(|r| *r > 0).min();
                 let mut state = shared.lock().expect("a state");
                 if newest > state.newest {
@@ -95,7 +96,7 @@
         Self { state, stop, thread: Some(thread) }
     }
 
-    /// Compares these from now on.
+    /// Compares these balancer processes from now on.
     fn compare(&self, balancers: Vec<SocketAddr>) {
         let mut state = self.state.lock().expect("a state");
         (state.balancers, state.waiting) = (balancers, VecDeque::new());
@@ -115,7 +116,7 @@
     }
 }
 
-/// Processor time of a process in seconds, and its resident memory in MB, as the system tells.
+/// Processor time of a process in seconds and its resident memory in MB, as reported by the kernel.
 fn process_usage(pid: u32) -> (f64, f64) {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let after = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
@@ -127,13 +128,13 @@
     (ticks / 100.0, kib.unwrap_or(0.0) / 1024.0)
 }
 
-/// What is counted, at one moment.
+/// All counters at one moment.
 struct Snapshot {
     at: Instant,
     counts: Vec<Counts>,
-    /// Of each process of balancers.
+    /// Processor time and memory of each balancer process.
     balancers: Vec<(f64, f64)>,
-    /// Of each instance.
+    /// Processor time and memory of each instance of the list service.
     instances: Vec<(f64, f64)>,
     revision: u64,
     failed: u64,
@@ -162,11 +163,11 @@
     }
 }
 
-/// What one phase cost a balancer.
+/// Cost of one phase to a balancer.
 #[derive(Clone, Debug, Default)]
 struct Cost {
     revisions: f64,
-    /// Percent of a core, mean over all and largest of a process's mean.
+    /// Percent of a core: the mean over all balancers, and the largest mean of a process.
     core: (f64, f64),
     mb: (f64, f64),
     bytes_a_second: (f64, f64),
@@ -183,7 +184,7 @@
     (all.iter().sum::<f64>() / all.len().max(1) as f64, all.iter().fold(0.0, |a, b| a.max(*b)))
 }
 
-/// Ends a phase: waits until all are level, prints what it cost.
+/// Ends a phase: waits until all balancers have the newest list, and prints the cost of the phase.
 fn finish_phase(
     what: &str,
     r: &Rehearsal,
@@ -203,7 +204,7 @@
     let core = mean_and_largest(spent.iter().map(|s| 100.0 * s / seconds / each));
     let mb = mean_and_largest(now.balancers.iter().map(|p| p.1 / each));
     let bytes = of(|c| c.bytes);
-    // One that was started anew counts from nothing.
+    // The counters of a restarted instance begin at 0 again.
     let pairs = now.instances.iter().zip(&from.instances);
     let instances: Vec<f64> =
         pairs.map(|(n, f)| 100.0 * (n.0 - if n.0 < f.0 { 0.0 } else { f.0 }) / seconds).collect();
@@ -267,7 +268,7 @@
     cost
 }
 
-/// What one size showed, for the slopes.
+/// Results of one size, for the slopes.
 struct SizeResult {
     members: f64,
     quiet: Cost,
@@ -303,7 +304,7 @@
             if region(i) == mine { *at } else { link.relay(*at) }
         };
         let lists = cluster.lists.iter().enumerate().map(route).collect();
-        // An instance of the other region would name the leader by an address that passes the link by.
+        // An instance of the other region would name the leader by an address that bypasses the link.
         let own = cluster.calls.iter().enumerate().filter(|(i, _)| region(*i) == mine);
         let calls = own.map(|(_, at)| *at).collect();
         Region { zones: zones.to_vec(), lists, calls }
@@ -362,8 +363,9 @@
         r.leader(Some(leader), WAIT_TIMEOUT);
         let led = killed.elapsed();
         change(&r, 20, 20);
-        // Only once every upstream has renewed elsewhere: asked through the link, it would name the leader by an address
-        // that passes the link by, and upstreams of the second region would stay in the list of the first while apart.
+        // The killed instance restarts only after every upstream has renewed at another one. Otherwise, asked through the
+        // link, it would name the leader by an address that bypasses the link, and upstreams of the second region would
+        // stay in the list of the first region during the partition.
         sleep(Duration::from_millis(ttl_ms / 2));
         r.fleet.restart(r.cluster.at[leader]);
         r.fleet.ready(r.cluster.at[leader]);
@@ -459,7 +461,7 @@
     SizeResult { members: list.members.len() as f64, quiet, changes, herd }
 }
 
-/// Least squares: constant and slope.
+/// Linear least-squares fit: the constant and the slope.
 fn fit_line(points: &[(f64, f64)]) -> (f64, f64) {
     let n = points.len() as f64;
     let (x, y) = points.iter().fold((0.0, 0.0), |(a, b), (x, y)| (a + x / n, b + y / n));
--- a/benches/thin_traffic.rs
+++ b/benches/thin_traffic.rs
@@ -1,5 +1,6 @@
-//! What a bank of balancers can learn from thin traffic: the module alone, on the virtual clock, for banks of several
-//! sizes before the same upstreams and the same seeded trace. Backs docs/CAPACITY.md, "Thin traffic".
+//! How much a fleet of balancers learns about its upstreams from thin traffic. Runs the policy alone on a virtual clock,
+//! for fleets of several sizes with the same upstreams and the same seeded trace. Backs docs/CAPACITY.md, "Thin
+//! traffic".
 //!
 //! ```sh
 //! cargo bench --bench thin_traffic                      # one of 210 services: 29 upstreams, 571 requests a second
@@ -9,7 +10,7 @@
 //! Options: `sizes=1,3,30,400` balancers, `upstreams=29`, `rate=571`, `work=20` mean ms of work (exponential),
 //! `aim=400` ms, `deadline=2000` ms, `seconds=120`, `seed=1`.
 
-#[allow(dead_code)] // Each bench uses part of it.
+#[allow(dead_code)] // Each bench uses only a part.
 mod measure;
 
 use std::cmp::Reverse;
@@ -23,9 +24,9 @@
 
 const US_PER_MS: i64 = 1000;
 const US_PER_SECOND: i64 = 1000 * US_PER_MS;
-/// There, and back.
+/// Network delay in each direction.
 const ONE_WAY_DELAY_US: i64 = US_PER_MS / 4;
-/// How long a proxy keeps an idle connection: 0.75 of `Keepalive`, 5 s in examples/proxy.json.
+/// How long a proxy keeps an idle connection to an upstream: 0.75 of `Keepalive`, which is 5 s in examples/proxy.json.
 const IDLE_CONNECTION_TIMEOUT_US: i64 = 3750 * US_PER_MS;
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -38,7 +39,7 @@
 struct Scenario {
     balancers: usize,
     upstreams: usize,
-    /// Requests a second of all clients.
+    /// Requests per second of all clients together.
     rate: f64,
 }
 
@@ -49,9 +50,10 @@
     refused: usize,
     failed: usize,
     attempts: usize,
-    /// Attempts less than [`IDLE_CONNECTION_TIMEOUT_US`] after the one before by the same balancer to the same upstream.
+    /// Attempts less than [`IDLE_CONNECTION_TIMEOUT_US`] after the previous one by the same balancer to the same
+    /// upstream, so that its connection is still open.
     on_warm_connection: usize,
-    /// When each pair was last used, and how often.
+    /// Last use and number of uses of each pair of balancer and upstream.
     pairs: FxHashMap<(usize, u32), (i64, usize)>,
     max_in_flight: usize,
     times: Vec<f64>,
@@ -87,7 +89,7 @@
             sequence += 1;
             heap.push(Reverse((at, sequence, next)));
         };
-    // The timers of a bank are not in step.
+    // The balancers start at different times, so that their timers do not fire together.
     for b in 0..scenario.balancers {
         let at = random.rand_range(0..100) as i64 * US_PER_MS;
         push(&mut heap, at, SimEvent::Timer(b, u64::MAX));
@@ -213,7 +215,7 @@
 }
 
 fn main() {
-    // `cargo test --benches` starts it without.
+    // `cargo test --benches` runs this without `--bench`.
     if !std::env::args().any(|a| a == "--bench") {
         return;
     }
