--- a/benches/balancer.rs
+++ b/benches/balancer.rs
@@ -558,8 +558,8 @@
     wrote
 }
 
-/// Sends requests through a proxy of each size and directly to the stand-ins, all at the same time, so that delays caused
-/// by the machine affect all of them alike.
+/// Sends requests through a proxy of each size and directly to the stand-ins, all at the same time, so that delays
+/// caused by the machine affect all of them alike.
 fn requests(sizes: &[usize]) {
     let mut fleet = Fleet::default();
     let upstreams = start_stand_ins(&mut fleet);
@@ -738,8 +738,8 @@
     ends.map(|w| (w[1] - w[0]).as_secs_f64() * 1e3).fold(0.0, f64::max)
 }
 
-/// Measures a proxy by its number of routes: start, memory, processor time of a request, and how long a SIGHUP blocks its
-/// thread.
+/// Measures a proxy by its number of routes: start, memory, processor time of a request, and how long a SIGHUP blocks
+/// its thread.
 fn routes(n: usize) {
     let mut fleet = Fleet::default();
     let upstreams = start_stand_ins(&mut fleet);
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -363,8 +363,8 @@
         r.leader(Some(leader), WAIT_TIMEOUT);
         let led = killed.elapsed();
         change(&r, 20, 20);
-        // The killed instance restarts only after every upstream has renewed at another one. Otherwise, asked through the
-        // link, it would name the leader by an address that bypasses the link, and upstreams of the second region would
+        // The killed instance restarts only after every upstream has renewed at another one. Otherwise, asked through
+        // the link, it would name the leader by an address that bypasses the link, and upstreams of the second region would
         // stay in the list of the first region during the partition.
         sleep(Duration::from_millis(ttl_ms / 2));
         r.fleet.restart(r.cluster.at[leader]);
--- a/benches/thin_traffic.rs
+++ b/benches/thin_traffic.rs
@@ -89,7 +89,7 @@
             sequence += 1;
             heap.push(Reverse((at, sequence, next)));
         };
-    // The balancers start at different times, so that their timers do not fire together.
+    // The balancers get their first list at different times, so that their timers do not fire together.
     for b in 0..scenario.balancers {
         let at = random.rand_range(0..100) as i64 * US_PER_MS;
         push(&mut heap, at, SimEvent::Timer(b, u64::MAX));
