--- a/benches/list_client.rs
+++ b/benches/list_client.rs
@@ -1,6 +1,6 @@
-//! What a proxy pays for news of its list, by the number of members: one changed entry, and a whole list. Beside
-//! criterion's own figures it prints, to standard error, each cost as a multiple of that at 64 members in this run: 4
-//! and 16 would be in step with the fleet.
+//! Cost of list updates in a proxy by the number of members: one changed entry, and a full list. In addition to
+//! criterion's results it prints, to standard error, each cost as a multiple of the cost at 64 members in the same run.
+//! Multiples of 4 and 16 mean that the cost is proportional to the fleet.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -16,7 +16,7 @@
 const SIZES: [u32; 3] = [64, 256, 1024];
 const RUNS: usize = 201;
 
-fn whole(n: u32) -> Vec<u8> {
+fn full_list_json(n: u32) -> Vec<u8> {
     let entry = |i| {
         serde_json::json!({"id": format!("s-{i:08x}"), "host_port": format!("10.1.{}.{}:8081", i / 250, i % 250),
             "locality": "a", "flavor": "m2", "cell": i / 8, "phase": "SERVING", "size": 1.0, "up_since_ms": 0})
@@ -26,7 +26,7 @@
     serde_json::to_vec_pretty(&list).unwrap_or_default()
 }
 
-/// Reads a list as it comes from the socket, in pieces.
+/// Parses a list that arrives in chunks, as from a socket, and returns the number of members.
 fn read(bytes: &[u8]) -> usize {
     let mut objects = Objects::new(4 << 20);
     for piece in bytes.chunks(8 << 10) {
@@ -38,47 +38,47 @@
     0
 }
 
-/// The module with a fleet of `n`, told of changes.
-struct Told {
+/// A policy with a fleet of `n` upstreams that receives list updates.
+struct PolicyHarness {
     balancer: Balancer,
     fleet: Vec<Member>,
     now: i64,
     actions: Vec<hollowpaddle::interface::Action>,
 }
 
-impl Told {
+impl PolicyHarness {
     fn new(n: u32) -> Self {
         let settings = Settings::basic(vec![Class::safe(Span(400_000), Span(2_000_000))]);
         let balancer = Balancer::new(settings, 7, Time(0)).expect("sound settings");
         let fleet = (0..n).map(|i| Member::live(ServerId(i))).collect();
-        let mut told = Self { balancer, fleet, now: 0, actions: Vec::new() };
-        told.whole();
-        told
+        let mut harness = Self { balancer, fleet, now: 0, actions: Vec::new() };
+        harness.apply_full_list();
+        harness
     }
 
-    fn tell(&mut self, kind: ListKind, list: &[Member]) -> usize {
+    fn apply_update(&mut self, kind: ListKind, list: &[Member]) -> usize {
         self.now += 1000;
         self.actions.clear();
         self.balancer.handle(Time(self.now), Event::Members { kind, list }, &mut self.actions);
         self.actions.len()
     }
 
-    fn whole(&mut self) -> usize {
+    fn apply_full_list(&mut self) -> usize {
         let list = std::mem::take(&mut self.fleet);
-        let actions = self.tell(ListKind::Full, &list);
+        let actions = self.apply_update(ListKind::Full, &list);
         self.fleet = list;
         actions
     }
 
-    fn change(&mut self) -> usize {
+    fn change_member(&mut self) -> usize {
         let mut one = self.fleet[0];
         one.status = if one.status == Status::Live { Status::Draining } else { Status::Live };
         self.fleet[0] = one;
-        self.tell(ListKind::Update, &[one])
+        self.apply_update(ListKind::Update, &[one])
     }
 }
 
-/// The median time of a run, in microseconds.
+/// The median duration of a run, in microseconds.
 fn median(mut run: impl FnMut() -> usize) -> f64 {
     let mut all: Vec<f64> = (0..RUNS)
         .map(|_| {
@@ -91,21 +91,23 @@
     all[RUNS / 2]
 }
 
-fn news(c: &mut Criterion) {
+fn list_updates(c: &mut Criterion) {
     let mut medians = Vec::new();
     for n in SIZES {
-        let bytes = whole(n);
-        let (mut lists, mut changes) = (Told::new(n), Told::new(n));
+        let bytes = full_list_json(n);
+        let (mut lists, mut changes) = (PolicyHarness::new(n), PolicyHarness::new(n));
         assert_eq!(read(&bytes), n as usize);
         c.bench_with_input(BenchmarkId::new("read_whole", n), &n, |b, _| b.iter(|| read(&bytes)));
-        c.bench_with_input(BenchmarkId::new("told_whole", n), &n, |b, _| b.iter(|| lists.whole()));
+        c.bench_with_input(BenchmarkId::new("told_whole", n), &n, |b, _| {
+            b.iter(|| lists.apply_full_list())
+        });
         c.bench_with_input(BenchmarkId::new("told_change", n), &n, |b, _| {
-            b.iter(|| changes.change())
+            b.iter(|| changes.change_member())
         });
         medians.push([
             median(|| read(&bytes)),
-            median(|| lists.whole()),
-            median(|| changes.change()),
+            median(|| lists.apply_full_list()),
+            median(|| changes.change_member()),
         ]);
     }
     for (i, what) in
@@ -121,5 +123,5 @@
     }
 }
 
-criterion_group!(benches, news);
+criterion_group!(benches, list_updates);
 criterion_main!(benches);
--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -1,5 +1,5 @@
-//! Short calls over HTTP/1.1 between processes of the program and from its operators: [`serve`] answers them,
-//! [`ask`] makes one, [`instances::Instances`] makes one of whichever instance can decide it.
+//! Short HTTP/1.1 calls between processes of the program and from its operators: [`serve`] answers calls, [`ask`]
+//! makes one, and [`instances::Instances`] sends one to whichever list service instance can decide it.
 
 pub mod instances;
 
@@ -27,58 +27,59 @@
 use crate::socket::{Socket, after_failed_accept};
 use crate::tasks::AbortOnDrop;
 
-/// PROTOCOL: no body exceeds 64 KiB; nor does a head here.
-pub const LIMIT: usize = 64 << 10;
-/// A caller that has not sent a whole head by then is let go.
-const HEAD_WITHIN: Duration = Duration::from_secs(10);
-/// Descriptors that are no caller's: standard streams, listeners, event queue, the state on disk, calls to others.
-const RESERVED: usize = 64;
-/// Callers over the limit who are told so at once; the next are closed.
-const REFUSALS: usize = 16;
-/// How long one of them may take to hear it.
-const REFUSED_WITHIN: Duration = Duration::from_secs(1);
+/// The largest request body that PROTOCOL allows, 64 KiB. Request heads have the same limit here.
+pub const MAX_BODY_BYTES: usize = 64 << 10;
+/// A connection is closed if its caller has not sent a complete request head within this time.
+const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// File descriptors that are not available to callers: standard streams, listeners, the event queue, state files, and
+/// outgoing calls.
+const RESERVED_DESCRIPTORS: usize = 64;
+/// How many connections over the limit may be answered with 503 at the same time; further ones are closed.
+const MAX_CONCURRENT_REFUSALS: usize = 16;
+/// How long answering a refused connection may take.
+const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One call as it came.
+/// A received call.
 #[derive(Debug)]
 pub struct Call {
-    /// Its method.
+    /// The request method.
     pub method: Method,
-    /// Its path, without the query.
+    /// The request path, without the query.
     pub path: String,
-    /// Its body, whole.
+    /// The complete request body.
     pub body: Bytes,
 }
 
-/// What it is answered with.
+/// The response to a call.
 pub type Reply = Response<Full<Bytes>>;
 
-/// An answer in JSON, on one line.
-pub fn say(status: StatusCode, value: &Value) -> Reply {
-    text(status, "application/json", format!("{value}\n").into_bytes())
+/// A JSON response on one line.
+pub fn json_reply(status: StatusCode, value: &Value) -> Reply {
+    reply_with_type(status, "application/json", format!("{value}\n").into_bytes())
 }
 
-/// An error in JSON: `{"error":"..."}`.
+/// An error response in JSON: `{"error":"..."}`.
 pub fn error(status: StatusCode, cause: impl std::fmt::Display) -> Reply {
-    say(status, &json!({ "error": cause.to_string() }))
+    json_reply(status, &json!({ "error": cause.to_string() }))
 }
 
-/// An answer of this content type.
-pub fn text(status: StatusCode, kind: &'static str, body: Vec<u8>) -> Reply {
+/// A response with the content type `kind`.
+pub fn reply_with_type(status: StatusCode, kind: &'static str, body: Vec<u8>) -> Reply {
     let mut answer = Response::new(Full::from(body));
     *answer.status_mut() = status;
     answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
     answer
 }
 
-/// Raises this process's limit of descriptors as far as the system lets it, and returns it: a list service holds one
-/// for each proxy.
-pub fn raise_descriptors() -> usize {
+/// Raises the process's file descriptor limit to the hard limit and returns the limit in force. A list service
+/// instance needs one descriptor for each proxy.
+pub fn raise_descriptor_limit() -> usize {
     let mut limit = getrlimit(Resource::Nofile);
     let most = limit.maximum;
     if limit.current != most {
         limit.current = most;
         if let Err(cause) = setrlimit(Resource::Nofile, limit) {
-            tracing::warn!(%cause, "the limit of descriptors stays as it is");
+            tracing::warn!(%cause, "cannot raise the file descriptor limit");
         }
     }
     descriptors()
@@ -90,84 +91,83 @@
 }
 
 thread_local! {
-    /// Connections open on all listeners of this thread, on which a process has them all.
-    static OPEN: Cell<usize> = const { Cell::new(0) };
+    /// Connections open on all listeners of this thread. A process runs all its listeners on one thread.
+    static OPEN_CONNECTIONS: Cell<usize> = const { Cell::new(0) };
 }
 
-/// One connection's place, given back when dropped.
-struct Place;
+/// A reserved connection slot, released when dropped.
+struct ConnectionSlot;
 
-impl Place {
+impl ConnectionSlot {
     fn take(most: usize) -> Option<Self> {
-        let open = OPEN.get();
+        let open = OPEN_CONNECTIONS.get();
         (open < most).then(|| {
-            OPEN.set(open + 1);
+            OPEN_CONNECTIONS.set(open + 1);
             Self
         })
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        OPEN.set(OPEN.get() - 1);
+        OPEN_CONNECTIONS.set(OPEN_CONNECTIONS.get() - 1);
     }
 }
 
-/// Accepts connections until the task is dropped, and hands each stream to `converse`: as many at once as the
-/// process has descriptors for. The next get 503, and the log says so once; so it does of accepts that fail.
+/// Accepts connections until the task is dropped and passes each stream to `handle_connection`. The number of open
+/// connections is limited by the process's file descriptors; connections over the limit get 503. The first refused
+/// connection or failed accept is logged, and then nothing until connections are accepted again.
 pub async fn accept<F: Future<Output = ()> + 'static>(
     listener: TcpListener,
-    converse: impl Fn(TcpStream) -> F,
+    handle_connection: impl Fn(TcpStream) -> F,
 ) {
-    accept_at_most(descriptors().saturating_sub(RESERVED), listener, converse).await;
+    accept_at_most(descriptors().saturating_sub(RESERVED_DESCRIPTORS), listener, handle_connection)
+        .await;
 }
 
 async fn accept_at_most<F: Future<Output = ()> + 'static>(
     most: usize,
     listener: TcpListener,
-    converse: impl Fn(TcpStream) -> F,
+    handle_connection: impl Fn(TcpStream) -> F,
 ) {
-    let (refusals, mut trouble) = (Rc::new(()), false);
+    let (refusals, mut reported) = (Rc::new(()), false);
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(cause) => {
-                if !std::mem::replace(&mut trouble, true) {
-                    tracing::warn!(%cause, "connections are not accepted");
+                if !std::mem::replace(&mut reported, true) {
+                    tracing::warn!(%cause, "cannot accept connections");
                 }
                 after_failed_accept(&cause).await;
                 continue;
             }
         };
         let _ = stream.set_nodelay(true);
-        if let Some(place) = Place::take(most) {
-            if std::mem::replace(&mut trouble, false) {
-                tracing::info!("connections are accepted again");
+        if let Some(slot) = ConnectionSlot::take(most) {
+            if std::mem::replace(&mut reported, false) {
+                tracing::info!("accepting connections again");
             }
-            let converse = converse(stream);
+            let handle_connection = handle_connection(stream);
             tokio::task::spawn_local(async move {
-                converse.await;
-                drop(place);
+                handle_connection.await;
+                drop(slot);
             });
             continue;
         }
-        if !std::mem::replace(&mut trouble, true) {
-            tracing::warn!(
-                most,
-                "the limit of descriptors allows no more connections; callers get 503"
-            );
+        if !std::mem::replace(&mut reported, true) {
+            tracing::warn!(most, "file descriptor limit reached; refusing connections with 503");
         }
-        if Rc::strong_count(&refusals) <= REFUSALS {
+        if Rc::strong_count(&refusals) <= MAX_CONCURRENT_REFUSALS {
             let refusal = refusals.clone();
             tokio::task::spawn_local(async move {
-                let _ = timeout(REFUSED_WITHIN, refuse(stream, most)).await;
+                let _ = timeout(REFUSAL_TIMEOUT, refuse(stream, most)).await;
                 drop(refusal);
             });
         }
     }
 }
 
-/// Answers a caller over the limit.
+/// Answers the first request of a connection over the limit with 503.
 async fn refuse(stream: TcpStream, most: usize) -> Result<(), hyper::Error> {
     let service = service_fn(|_| async move {
         let cause = format!("{most} connections are open, and no more are allowed");
@@ -181,15 +181,18 @@
         .await
 }
 
-/// A server for one connection: bounded heads, and bounded time for each.
+/// An HTTP/1.1 connection builder that limits the size of request heads and the time to read one.
 pub fn connection() -> http1::Builder {
     let mut builder = http1::Builder::new();
-    builder.timer(TokioTimer::new()).header_read_timeout(HEAD_WITHIN).max_buf_size(LIMIT);
+    builder
+        .timer(TokioTimer::new())
+        .header_read_timeout(REQUEST_HEAD_TIMEOUT)
+        .max_buf_size(MAX_BODY_BYTES);
     builder
 }
 
-/// Answers calls until the task is dropped. A body over `limit` of its path, in bytes, gets 413 and one that breaks
-/// off 400, without `answer` being asked.
+/// Serves calls until the task is dropped. `limit` gives the largest body for a path, in bytes. A larger body gets
+/// 413 and a truncated one 400, in both cases without calling `answer`.
 pub async fn serve<A, F>(listener: TcpListener, limit: fn(&str) -> usize, answer: A)
 where
     A: Fn(Call) -> F + 'static,
@@ -218,45 +221,45 @@
             });
             let served = connection().serve_connection(TokioIo::new(Socket::new(stream)), service);
             if let Err(cause) = served.await {
-                tracing::debug!(%cause, "a call");
+                tracing::debug!(%cause, "connection of a call failed");
             }
         }
     })
     .await;
 }
 
-/// Why a call got no whole answer. Unless it is [`CallError::Connect`], it may have been carried out.
+/// Why a call got no complete answer. Except for [`CallError::Connect`], the call may have been carried out.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No connection: it was not made.
+    /// No connection could be made, so the call was not sent.
     #[error("{0}: connect: {1}")]
     Connect(SocketAddr, std::io::Error),
-    /// The connection broke, or what came is no HTTP.
+    /// The connection failed, or the answer is not valid HTTP.
     #[error("{0}: {1}")]
     Http(SocketAddr, hyper::Error),
-    /// The answer is too long or broke off.
+    /// The body of the answer is too long or truncated.
     #[error("{0}: the answer: {1}")]
     Body(SocketAddr, Box<dyn std::error::Error + Send + Sync>),
-    /// The request can't be made.
+    /// The request could not be built.
     #[error("{0}: {1}")]
     Request(SocketAddr, hyper::http::Error),
-    /// No answer in time.
+    /// No answer within the time allowed.
     #[error("{0}: no answer within {1:?}")]
     Silent(SocketAddr, Duration),
 }
 
-/// A connection that calls are made on, one at a time.
-pub struct Line {
+/// A persistent connection to one address, for calls one at a time.
+pub struct PersistentConnection {
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
     _connection: AbortOnDrop,
 }
 
-impl Line {
-    /// Connects.
+impl PersistentConnection {
+    /// Connects to `address`.
     ///
     /// # Errors
-    /// [`CallError`].
+    /// [`CallError::Connect`] or [`CallError::Http`].
     pub async fn open(address: SocketAddr) -> Result<Self, CallError> {
         let connect = |cause| CallError::Connect(address, cause);
         let stream = TcpStream::connect(address).await.map_err(connect)?;
@@ -271,10 +274,10 @@
         Ok(Self { address, sender, _connection: AbortOnDrop(task) })
     }
 
-    /// One call; the answer's status and body, of at most `most` bytes.
+    /// Makes a call and returns the status and body of the answer. The body may have at most `most` bytes.
     ///
     /// # Errors
-    /// [`CallError`]; the line is of no more use.
+    /// [`CallError`]; the connection must not be used again.
     pub async fn ask(
         &mut self,
         method: Method,
@@ -298,10 +301,10 @@
     }
 }
 
-/// One call on a connection of its own; the answer's status and body, of at most 16 MiB.
+/// Makes a call on a new connection and returns the status and body of the answer. The body may have at most 16 MiB.
 ///
 /// # Errors
-/// [`CallError`].
+/// [`CallError`]; [`CallError::Silent`] if the call takes longer than `within`.
 pub async fn ask(
     address: SocketAddr,
     method: Method,
@@ -309,7 +312,9 @@
     body: impl Into<Bytes>,
     within: Duration,
 ) -> Result<(StatusCode, Bytes), CallError> {
-    let call = async { Line::open(address).await?.ask(method, path, body, 16 << 20).await };
+    let call = async {
+        PersistentConnection::open(address).await?.ask(method, path, body, 16 << 20).await
+    };
     timeout(within, call).await.unwrap_or(Err(CallError::Silent(address, within)))
 }
 
--- a/src/figures/mod.rs
+++ b/src/figures/mod.rs
@@ -74,7 +74,11 @@
 fn encode_response(registry: &Registry) -> Response<Full<Bytes>> {
     let mut text = String::new();
     match encode(&mut text, registry) {
-        Ok(()) => crate::calls::text(StatusCode::OK, PROMETHEUS_CONTENT_TYPE, text.into_bytes()),
+        Ok(()) => crate::calls::reply_with_type(
+            StatusCode::OK,
+            PROMETHEUS_CONTENT_TYPE,
+            text.into_bytes(),
+        ),
         Err(cause) => crate::calls::error(StatusCode::INTERNAL_SERVER_ERROR, cause),
     }
 }
--- a/src/hollow/driver.rs
+++ b/src/hollow/driver.rs
@@ -34,8 +34,8 @@
 use super::figures::{BalancerFigures, Balancers, add};
 use super::tally::Tally;
 use super::upstream::{BalancerFault, HollowUpstream, Order, UpstreamFault};
-use crate::calls::instances::{Instances, Undecided};
-use crate::calls::{self, Call, LIMIT, Reply, error, say};
+use crate::calls::instances::{InstanceCallError, Instances};
+use crate::calls::{self, Call, MAX_BODY_BYTES, Reply, error, json_reply};
 use crate::configuration::ConfigError;
 use crate::discovery::client::{self, ListEvent};
 use crate::discovery::filter::Filter;
@@ -62,7 +62,7 @@
     Config(#[from] ConfigError),
     /// The addresses to register at are unusable.
     #[error("lists.management: {0}")]
-    Lists(#[from] Undecided),
+    Lists(#[from] InstanceCallError),
 }
 
 /// The clock of the policies: monotonic, aligned with Unix time once at the start.
@@ -190,7 +190,7 @@
                     running: Cell::new(false),
                 })
             })
-            .collect::<Result<Vec<_>, Undecided>>()?;
+            .collect::<Result<Vec<_>, InstanceCallError>>()?;
         let clock = Clock::new();
         Ok(Rc::new(Self { config, facts, clock, tally, dispatch, balancers, upstreams }))
     }
@@ -205,7 +205,7 @@
             self.start_upstream(i, after);
         }
         let this = self.clone();
-        calls::serve(listener, |_| LIMIT, move |call| this.clone().answer(call)).await;
+        calls::serve(listener, |_| MAX_BODY_BYTES, move |call| this.clone().answer(call)).await;
     }
 
     /// A random delay below `within` for upstream or balancer `i`, reproducible from the configured seed.
@@ -420,15 +420,15 @@
         let path = call.path.as_str();
         match (path, call.method == Method::GET, call.method == Method::POST) {
             ("/metrics", true, _) => self.metrics(),
-            ("/admin/stats", true, _) => say(StatusCode::OK, &self.summary()),
+            ("/admin/stats", true, _) => json_reply(StatusCode::OK, &self.summary()),
             ("/admin/hollow", true, _) => {
                 let mut all = self.summary();
                 let each = self.balancers.iter().map(|b| b.figures.to_json(&b.id, &b.zone));
                 all["each"] = each.collect();
-                say(StatusCode::OK, &all)
+                json_reply(StatusCode::OK, &all)
             }
             (path, true, _) if reads.contains(&path) => {
-                say(StatusCode::OK, &json!({"ready": true}))
+                json_reply(StatusCode::OK, &json!({"ready": true}))
             }
             ("/admin/hollow/upstreams", _, true) => {
                 execute_command(&call.body, |o| self.apply_to_upstreams(o))
@@ -491,7 +491,7 @@
 {
     let mut reader = serde_json::Deserializer::from_slice(body);
     match serde_path_to_error::deserialize(&mut reader) {
-        Ok(order) => say(StatusCode::OK, &json!({"chosen": execute(&order)})),
+        Ok(order) => json_reply(StatusCode::OK, &json!({"chosen": execute(&order)})),
         Err(cause) => error(StatusCode::BAD_REQUEST, cause),
     }
 }
--- a/src/release/control.rs
+++ b/src/release/control.rs
@@ -15,7 +15,7 @@
 use super::driver::{Release, status};
 use super::plan::Plan;
 use super::state;
-use crate::calls::{self, Call, LIMIT, Reply, ask, error, say};
+use crate::calls::{self, Call, MAX_BODY_BYTES, Reply, ask, error, json_reply};
 
 /// Time limit of a call to the controller.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -24,7 +24,7 @@
 pub async fn serve(listener: TcpListener, release: Rc<Release>) {
     calls::serve(
         listener,
-        |_| LIMIT,
+        |_| MAX_BODY_BYTES,
         move |call| {
             let answer = answer(&release, &call);
             async move { answer }
@@ -46,7 +46,7 @@
         return error(StatusCode::METHOD_NOT_ALLOWED, "the method");
     }
     match command.map_or(Ok(()), |command| release.apply_command(command)) {
-        Ok(()) => say(StatusCode::OK, &release.status()),
+        Ok(()) => json_reply(StatusCode::OK, &release.status()),
         Err(cause) => error(StatusCode::CONFLICT, cause),
     }
 }
--- a/src/stand_in/mod.rs
+++ b/src/stand_in/mod.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-use crate::calls::{self, LIMIT};
+use crate::calls::{self, MAX_BODY_BYTES};
 use crate::socket::Socket;
 
 /// How a stand-in upstream answers.
@@ -43,7 +43,7 @@
                 async move {
                     let (StandInOptions { delay, error_every, .. }, name, count) = &*state;
                     let body_complete =
-                        Limited::new(request.into_body(), LIMIT).collect().await.is_ok();
+                        Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await.is_ok();
                     if !delay.is_zero() {
                         sleep(*delay).await;
                     }
