--- a/src/bin/hollowpaddle/engine.rs
+++ b/src/bin/hollowpaddle/engine.rs
@@ -20,7 +20,7 @@
 use hollowpaddle::interface::{Action, Event, ListKind, Outcome, RequestId, ServerId, Span, Time};
 use hollowpaddle::invariants::permit::Denial;
 use hollowpaddle::services::{
-    Catalog, Change, Notified, ReloadError, Routing, Service, ServiceId, Services,
+    Catalog, Change, DirectoryUpdate, ReloadError, Routing, Service, ServiceId, Services,
 };
 use hollowpaddle::tasks::{AbortOnDrop, settle};
 use rustc_hash::FxHashMap;
@@ -203,7 +203,7 @@
         let cached =
             keeper.as_ref().map(ListCache::list).filter(|l| l.revision > config.known.revision);
         let mut known = cached.unwrap_or(&config.known).clone();
-        let narrowed = config.catalog.narrow(&mut known);
+        let narrowed = config.catalog.filter_list(&mut known);
         // Later writes to the cache are changes relative to the list in use, so the cache has to start from it.
         if let (true, Some(keeper)) = (cached.is_none() || narrowed.changed, &keeper) {
             keeper.keep(known.clone());
@@ -212,7 +212,8 @@
         let mode = if settings.must_ask { Mode::OnDemand } else { Mode::Pushed { grace } };
         let follow =
             WatchPlanner::new(config.discovery.clone(), mode, known.revision, Instant::now());
-        let follow = if narrowed.whole { follow } else { follow.requesting_full_list() };
+        let follow =
+            if narrowed.covers_all_services { follow } else { follow.requesting_full_list() };
         let (orders, order_receiver) = mpsc::unbounded_channel();
         let (send_update, list_updates) = mpsc::unbounded_channel();
         let send_update = move |update| drop(send_update.send(update));
@@ -435,7 +436,7 @@
             last_outcome: None,
         };
         self.requests.insert(id, pending);
-        self.services.opened(service);
+        self.services.request_opened(service);
         if !self.services.serves(service) {
             // The service was removed after the request had been routed.
             self.give_up(id);
@@ -581,13 +582,13 @@
         if self.requests.get(&id).is_some_and(over)
             && let Some(pending) = self.requests.remove(&id)
         {
-            self.services.closed(pending.service);
+            self.services.request_closed(pending.service);
         }
     }
 
     fn apply_list(&mut self, list: &List, kind: ListKind) {
-        self.services.clock_read(Clock::wall(), self.clock.now());
-        let Notified { changes, members } = self.services.told(list, kind);
+        self.services.observe_wall_clock(Clock::wall(), self.clock.now());
+        let DirectoryUpdate { changes, members } = self.services.apply_list(list, kind);
         self.apply_changes(&changes);
         for (service, members) in members {
             self.notify_policy(service, Event::Members { kind, list: &members });
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -73,18 +73,18 @@
     let deserializer = toml::Deserializer::parse(text)
         .map_err(|e| malformed(String::new(), e.message().to_owned()))?;
     let mut unknown: Option<String> = None;
-    let mut note = |path: serde_ignored::Path<'_>| {
+    let mut record_unknown = |path: serde_ignored::Path<'_>| {
         unknown.get_or_insert(path.to_string());
     };
-    let watched = serde_ignored::Deserializer::new(deserializer, &mut note);
-    let read = serde_path_to_error::deserialize(watched).map_err(|e| {
+    let tracked = serde_ignored::Deserializer::new(deserializer, &mut record_unknown);
+    let value = serde_path_to_error::deserialize(tracked).map_err(|e| {
         let key = e.path().to_string();
         let cause = e.into_inner().message().to_owned();
         malformed(if key == "." { String::new() } else { key }, cause)
     })?;
     match unknown {
         Some(key) => Err(malformed(key, "no such key".to_owned())),
-        None => Ok(read),
+        None => Ok(value),
     }
 }
 
--- a/src/configuration/tests.rs
+++ b/src/configuration/tests.rs
@@ -20,11 +20,11 @@
 }
 
 #[test]
-fn a_wrong_key_is_named_by_its_path() {
-    let said = error("listen = \"a\"\n[[inner]]\nid = \"s\"\nsize = \"big\"\n");
-    assert!(said.starts_with("x.toml: key `inner[0].size`:"), "{said}");
-    let said = error("listen = \"a\"\n[[inner]]\nid = \"s\"\nsize = 1.0\nsizes = 2\n");
-    assert_eq!(said, "x.toml: key `inner.0.sizes`: no such key");
+fn an_invalid_key_is_reported_by_its_path() {
+    let message = error("listen = \"a\"\n[[inner]]\nid = \"s\"\nsize = \"big\"\n");
+    assert!(message.starts_with("x.toml: key `inner[0].size`:"), "{message}");
+    let message = error("listen = \"a\"\n[[inner]]\nid = \"s\"\nsize = 1.0\nsizes = 2\n");
+    assert_eq!(message, "x.toml: key `inner.0.sizes`: no such key");
     assert!(error("listen = [").starts_with("x.toml: key `.`:"));
     assert!(error("").contains("listen"), "a missing key is named");
 }
--- a/src/hollow/balancer.rs
+++ b/src/hollow/balancer.rs
@@ -10,7 +10,7 @@
 
 use crate::discovery::member::{Member as Entry, Message, Phase};
 use crate::interface::{Action, Event, ListKind, SettingsError, Time};
-use crate::services::{Catalog, Notified, ServiceId, Services};
+use crate::services::{Catalog, DirectoryUpdate, ServiceId, Services};
 
 /// One entry's part of a [`digest`].
 fn part(entry: &Entry) -> u64 {
@@ -104,7 +104,7 @@
     /// Tells the services what was [taken](Self::take) last, each its own part of it; how many were told.
     pub fn tell(&mut self, now: Time, list: &Message, kind: ListKind) -> usize {
         // There are no connections that its changes could concern.
-        let Notified { members, .. } = self.services.told(list, kind);
+        let DirectoryUpdate { members, .. } = self.services.apply_list(list, kind);
         for (service, members) in &members {
             self.handle(now, *service, Event::Members { kind, list: members });
         }
--- a/src/hollow/driver.rs
+++ b/src/hollow/driver.rs
@@ -234,7 +234,7 @@
             Err(cause) => return tracing::error!(%cause, id, "services"),
         };
         let mut known = keeper.as_ref().map(|k| k.list().clone()).unwrap_or_default();
-        let narrowed = catalog.narrow(&mut known);
+        let narrowed = catalog.filter_list(&mut known);
         if let (true, Some(keeper)) = (narrowed.changed, &keeper) {
             keeper.keep(known.clone());
         }
@@ -254,7 +254,8 @@
         addresses.rotate_left(first);
         let mode = Mode::Pushed { grace };
         let follow = WatchPlanner::new(addresses, mode, known.revision, Instant::now());
-        let follow = if narrowed.whole { follow } else { follow.requesting_full_list() };
+        let follow =
+            if narrowed.covers_all_services { follow } else { follow.requesting_full_list() };
         let filter = catalog.names().map_or_else(Filter::all, Filter::services);
         // Held open: nobody moves the list of a hollow balancer.
         let (_orders, ordered) = mpsc::unbounded_channel();
--- a/src/routing/host.rs
+++ b/src/routing/host.rs
@@ -19,7 +19,7 @@
 }
 
 impl Pattern {
-    pub(super) fn read(stated: &str) -> Result<Self, HostFault> {
+    pub(super) fn parse(stated: &str) -> Result<Self, HostFault> {
         if stated.is_empty() {
             return Ok(Self::Any);
         }
@@ -30,13 +30,13 @@
         }
         let name = stated.strip_suffix('.').unwrap_or(stated);
         match name.strip_prefix("*.") {
-            Some(suffix) => Ok(Self::Wildcard(checked(suffix)?)),
-            None => Ok(Self::Exact(checked(name)?)),
+            Some(suffix) => Ok(Self::Wildcard(validate_name(suffix)?)),
+            None => Ok(Self::Exact(validate_name(name)?)),
         }
     }
 }
 
-fn checked(name: &str) -> Result<String, HostFault> {
+fn validate_name(name: &str) -> Result<String, HostFault> {
     for label in name.split('.') {
         if label.is_empty() {
             return Err(HostFault::EmptyLabel);
@@ -59,10 +59,14 @@
 
 /// The host of a request's authority: without port and trailing dot, in lower case. What is no authority comes back
 /// with what is wrong in it, so that it equals no route's name.
-pub(super) fn of_authority(authority: &str) -> Cow<'_, str> {
+pub(super) fn from_authority(authority: &str) -> Cow<'_, str> {
     let host = match authority.rsplit_once(':') {
         // The colons of a literal stand between its brackets.
-        Some((host, port)) if port.bytes().all(|b| b.is_ascii_digit()) && !open(host) => host,
+        Some((host, port))
+            if port.bytes().all(|b| b.is_ascii_digit()) && !is_unclosed_literal(host) =>
+        {
+            host
+        }
         _ => authority,
     };
     let host = if host.starts_with('[') { host } else { host.strip_suffix('.').unwrap_or(host) };
@@ -74,17 +78,17 @@
 }
 
 /// Whether this is a literal cut off before its closing bracket.
-fn open(host: &str) -> bool {
+fn is_unclosed_literal(host: &str) -> bool {
     host.starts_with('[') && !host.ends_with(']')
 }
 
 /// What follows each dot of `host` and has at most `longest` bytes, the longest first. What is no host name, by an
 /// empty label or a character that delimits the parts of a URI (RFC 3986, section 2.2), has none.
-pub(super) fn suffixes(host: &str, longest: usize) -> impl Iterator<Item = &str> {
-    let empty = host.starts_with('.') || host.contains("..");
-    let name = !empty && !host.contains([':', '/', '?', '#', '[', ']', '@']);
+pub(super) fn suffixes(host: &str, max_len: usize) -> impl Iterator<Item = &str> {
+    let empty_label = host.starts_with('.') || host.contains("..");
+    let is_name = !empty_label && !host.contains([':', '/', '?', '#', '[', ']', '@']);
     // The dot before a suffix that is not too long stands here or later.
-    let from = if name { host.len().saturating_sub(longest + 1) } else { host.len() };
-    let dots = host.bytes().enumerate().skip(from).filter(|(_, b)| *b == b'.');
+    let start = if is_name { host.len().saturating_sub(max_len + 1) } else { host.len() };
+    let dots = host.bytes().enumerate().skip(start).filter(|(_, b)| *b == b'.');
     dots.map(|(dot, _)| &host[dot + 1..])
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -56,9 +56,9 @@
     exact: FxHashMap<Box<str>, Prefixes>,
     /// By the name behind `*.`.
     wildcards: FxHashMap<Box<str>, Prefixes>,
-    any: Prefixes,
+    any_host: Prefixes,
     /// Most bytes of a key of `wildcards`.
-    longest: usize,
+    max_wildcard_bytes: usize,
     /// The service of each route.
     targets: Box<[usize]>,
 }
@@ -67,24 +67,24 @@
     /// Checks `routes` and builds their table. `services` are the names that exist; what [`RouteTable::find`] gives
     /// counts within them (of equal names, the first).
     pub fn new(routes: &[Route], services: &[impl AsRef<str>]) -> Result<Self, RouteError> {
-        let mut indexes = HashMap::with_capacity(services.len());
+        let mut service_indexes = HashMap::with_capacity(services.len());
         for (i, service) in services.iter().enumerate() {
-            indexes.entry(service.as_ref()).or_insert(i);
+            service_indexes.entry(service.as_ref()).or_insert(i);
         }
         let mut table = Self {
             exact: FxHashMap::default(),
             wildcards: FxHashMap::default(),
-            any: Prefixes::default(),
-            longest: 0,
+            any_host: Prefixes::default(),
+            max_wildcard_bytes: 0,
             targets: Box::default(),
         };
         let mut targets = Vec::with_capacity(routes.len());
         for (route, stated) in routes.iter().enumerate() {
             let pattern =
-                Pattern::read(&stated.host).map_err(|fault| RouteError::Host { route, fault })?;
+                Pattern::parse(&stated.host).map_err(|fault| RouteError::Host { route, fault })?;
             let prefix =
-                path::read(&stated.prefix).map_err(|fault| RouteError::Prefix { route, fault })?;
-            let Some(index) = indexes.get(stated.service.as_str()) else {
+                path::parse(&stated.prefix).map_err(|fault| RouteError::Prefix { route, fault })?;
+            let Some(index) = service_indexes.get(stated.service.as_str()) else {
                 return Err(RouteError::Service { route, service: stated.service.clone() });
             };
             targets.push(*index);
@@ -96,17 +96,21 @@
         table.targets = targets.into();
         table.exact.shrink_to_fit();
         table.wildcards.shrink_to_fit();
-        table.exact.values_mut().chain(table.wildcards.values_mut()).for_each(Prefixes::shrink);
-        table.any.shrink();
+        table
+            .exact
+            .values_mut()
+            .chain(table.wildcards.values_mut())
+            .for_each(Prefixes::shrink_to_fit);
+        table.any_host.shrink_to_fit();
         Ok(table)
     }
 
     fn prefixes(&mut self, pattern: Pattern) -> &mut Prefixes {
         match pattern {
-            Pattern::Any => &mut self.any,
+            Pattern::Any => &mut self.any_host,
             Pattern::Exact(name) => self.exact.entry(name.into()).or_default(),
             Pattern::Wildcard(suffix) => {
-                self.longest = self.longest.max(suffix.len());
+                self.max_wildcard_bytes = self.max_wildcard_bytes.max(suffix.len());
                 self.wildcards.entry(suffix.into()).or_default()
             }
         }
@@ -122,30 +126,30 @@
     #[doc(hidden)]
     pub fn find_counted(&self, host: &str, path: &str) -> (Option<usize>, usize) {
         let path = path.split_once('?').map_or(path, |(path, _)| path);
-        let mut count = 0;
-        let route = self.route(host, path, &mut count);
-        (route.map(|route| self.targets[route]), count)
+        let mut lookups = 0;
+        let route = self.route(host, path, &mut lookups);
+        (route.map(|route| self.targets[route]), lookups)
     }
 
-    fn route(&self, host: &str, path: &str, count: &mut usize) -> Option<usize> {
-        let host = host::of_authority(host);
+    fn route(&self, host: &str, path: &str, lookups: &mut usize) -> Option<usize> {
+        let host = host::from_authority(host);
         if !self.exact.is_empty() {
-            *count += 1;
-            let found = self.exact.get(&*host).and_then(|p| p.find(path, count));
+            *lookups += 1;
+            let found = self.exact.get(&*host).and_then(|p| p.find(path, lookups));
             if found.is_some() {
                 return found;
             }
         }
         if !self.wildcards.is_empty() {
-            for suffix in host::suffixes(&host, self.longest) {
-                *count += 1;
-                let found = self.wildcards.get(suffix).and_then(|p| p.find(path, count));
+            for suffix in host::suffixes(&host, self.max_wildcard_bytes) {
+                *lookups += 1;
+                let found = self.wildcards.get(suffix).and_then(|p| p.find(path, lookups));
                 if found.is_some() {
                     return found;
                 }
             }
         }
-        self.any.find(path, count)
+        self.any_host.find(path, lookups)
     }
 
     /// The count of routes.
--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn an_exact_host_comes_before_a_wildcard_and_that_before_any() {
+fn exact_host_precedes_wildcard_and_wildcard_precedes_any() {
     let t = hosts(&["", "*.example.com", "a.example.com"]);
     assert_eq!(t.find("a.example.com", "/"), Some(2));
     assert_eq!(t.find("b.example.com", "/"), Some(1));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_longest_wildcard_wins_and_stands_for_any_labels() {
+fn the_longest_wildcard_wins() {
     let t = hosts(&["*.com", "*.example.com", "*.b.example.com"]);
     assert_eq!(t.find("x.com", "/"), Some(0));
     assert_eq!(t.find("example.com", "/"), Some(0));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn case_port_and_trailing_dot_of_a_host_do_not_count() {
+fn case_port_and_trailing_dot_of_a_host_are_ignored() {
     let t = hosts(&["A.Example.Com.", "*.Wild.COM."]);
     for host in ["a.example.com", "A.EXAMPLE.com", "a.example.com.", "a.example.com:80"] {
         assert_eq!(t.find(host, "/"), Some(0), "{host}");
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_literal_is_kept_whole() {
+fn ipv6_literals_keep_their_brackets() {
     let t = hosts(&["[::1]", "[2001:DB8::1]", "10.0.0.1"]);
     for (host, found) in [
         ("[::1]", Some(0)),
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_host_that_is_no_name_matches_routes_for_any_host_only() {
+fn an_invalid_host_matches_only_routes_for_any_host() {
     let t = hosts(&["", "*.example.com", "example.com"]);
     for host in [
         ".example.com",
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn slashes_at_the_end_of_a_prefix_change_nothing() {
+fn trailing_slashes_of_a_prefix_are_ignored() {
     for all in ["", "/", "//"] {
         let t = prefixes(&[all, "/api/"]);
         assert_eq!(t.find("", "/api"), Some(1));
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn the_host_is_decided_before_the_prefix() {
+fn the_host_is_matched_before_the_prefix() {
     let t = table(&[("a.b", "/x", "zero"), ("*.b", "/x/y/z", "one"), ("", "/x/y", "two")]).unwrap();
     assert_eq!(t.find("a.b", "/x/y/z"), Some(0));
     assert_eq!(t.find("c.b", "/x/y/z"), Some(1));
@@ -147,14 +147,14 @@
 /// Why this is refused as the second of two routes.
 fn refused(host: &str, prefix: &str, service: &str) -> String {
     let error = table(&[("ok", "/ok", "zero"), (host, prefix, service)]).unwrap_err();
-    let said = error.to_string();
-    assert_eq!(said, format!("{}: {}", error.key(), error.cause()));
-    said
+    let message = error.to_string();
+    assert_eq!(message, format!("{}: {}", error.key(), error.cause()));
+    message
 }
 
 #[test]
-fn a_host_that_cannot_be_is_refused_by_its_key() {
-    let wild =
+fn an_invalid_host_is_refused_by_its_key() {
+    let wildcard =
         "a wildcard is the whole first label, with a name behind it, as in \"*.example.com\"";
     for (host, cause) in [
         (".", "a label of the name is empty"),
@@ -162,12 +162,12 @@
         (".a", "a label of the name is empty"),
         ("a..", "a label of the name is empty"),
         ("*..a", "a label of the name is empty"),
-        ("*.", wild),
-        ("*", wild),
-        ("*a.b", wild),
-        ("a.*", wild),
-        ("a.*.b", wild),
-        ("*.*.b", wild),
+        ("*.", wildcard),
+        ("*", wildcard),
+        ("*a.b", wildcard),
+        ("a.*", wildcard),
+        ("a.*.b", wildcard),
+        ("*.*.b", wildcard),
         ("a.b:80", "':' is no character of a host name"),
         ("a_b", "'_' is no character of a host name"),
         ("a b", "' ' is no character of a host name"),
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn hosts_are_as_long_as_dns_allows_and_no_longer() {
+fn host_length_limits_are_those_of_dns() {
     let label = "l".repeat(63);
     let longest = format!("{label}.{label}.{label}.{}", "l".repeat(61));
     let t = hosts(&[&longest, &format!("*.{longest}")]);
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_prefix_that_cannot_be_is_refused_by_its_key() {
+fn an_invalid_prefix_is_refused_by_its_key() {
     for (prefix, cause) in [
         ("api", "does not begin with \"/\""),
         ("*", "does not begin with \"/\""),
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn the_same_host_and_prefix_twice_are_refused_whatever_the_service() {
+fn duplicate_host_and_prefix_are_refused() {
     for (first, second) in [
         (("", ""), ("", "/")),
         (("", "/api"), ("", "/api//")),
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn the_first_route_at_fault_is_named() {
+fn the_first_invalid_route_is_reported() {
     let error = table(&[("", "", "zero"), ("", "x", "three"), ("..", "", "zero")]).unwrap_err();
     assert_eq!(error, RouteError::Prefix { route: 1, fault: PrefixFault::NoSlash });
 }
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn routes_are_read_with_every_unknown_key_refused() {
+fn unknown_route_keys_are_refused() {
     #[derive(Debug, serde::Deserialize)]
     struct File {
         routes: Vec<Route>,
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn what_is_longer_than_every_route_is_not_looked_up() {
+fn labels_and_segments_beyond_the_longest_route_are_not_looked_up() {
     let t = table(&[
         ("a.example.com", "/x/y", "zero"),
         ("*.example.com", "/x", "one"),
--- a/src/services/catalog.rs
+++ b/src/services/catalog.rs
@@ -42,7 +42,7 @@
 }
 
 impl Overrides {
-    fn over(&self, base: &Facts) -> Facts {
+    fn apply_to(&self, base: &Facts) -> Facts {
         let mut facts = base.clone();
         facts.tenants = self.tenants.clone();
         if let Some(classes) = &self.classes {
@@ -129,12 +129,12 @@
 
 /// What became of a list from before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Narrowed {
+pub struct FilteredList {
     /// Whether it named upstreams of no service here.
     pub changed: bool,
     /// Whether each service has upstreams in it: one that has none may not have been followed then, and the whole
     /// list has to be asked for.
-    pub whole: bool,
+    pub covers_all_services: bool,
 }
 
 /// All services of a balancer, and which requests are whose.
@@ -176,7 +176,7 @@
             return Err(invalid("settings.Tenants".into(), cause));
         }
         let mut seen = FxHashSet::default();
-        let mut ready = Vec::with_capacity(services.len());
+        let mut checked = Vec::with_capacity(services.len());
         for (i, entry) in services.iter().enumerate() {
             let key = || format!("services[{i}].name");
             if entry.name.is_empty() {
@@ -188,13 +188,13 @@
             if !seen.insert(entry.name.as_str()) {
                 return Err(invalid(key(), "listed twice"));
             }
-            let service = Service::new(entry.name.clone(), entry.settings.over(base));
+            let service = Service::new(entry.name.clone(), entry.settings.apply_to(base));
             let key = format!("services[{i}].settings");
-            ready.push(service.map_err(|cause| CatalogError::Settings { key, cause })?);
+            checked.push(service.map_err(|cause| CatalogError::Settings { key, cause })?);
         }
-        let names: Vec<&str> = ready.iter().map(|s| s.name.as_str()).collect();
+        let names: Vec<&str> = checked.iter().map(|s| s.name.as_str()).collect();
         let routes = RouteTable::new(routes, &names)?;
-        Ok(Self { services: ready, routes: Some(routes) })
+        Ok(Self { services: checked, routes: Some(routes) })
     }
 
     /// Whether every request and every upstream is one service's.
@@ -211,20 +211,20 @@
     }
 
     /// Takes out of a list from before what is of no service here.
-    pub fn narrow(&self, list: &mut Message) -> Narrowed {
+    pub fn filter_list(&self, list: &mut Message) -> FilteredList {
         if self.is_single() {
-            return Narrowed { changed: false, whole: true };
+            return FilteredList { changed: false, covers_all_services: true };
         }
         let mut missing: FxHashSet<&str> = self.services.iter().map(|s| s.name.as_str()).collect();
         let names = missing.clone();
-        let before = list.members.len();
+        let listed = list.members.len();
         list.members.retain(|m| names.contains(m.service.as_str()));
-        let changed = list.members.len() < before;
+        let changed = list.members.len() < listed;
         list.complete |= changed;
         for member in &list.members {
             missing.remove(member.service.as_str());
         }
-        Narrowed { changed, whole: missing.is_empty() }
+        FilteredList { changed, covers_all_services: missing.is_empty() }
     }
 
     /// The names that members of the list carry; `None` where all are wanted.
--- a/src/services/mod.rs
+++ b/src/services/mod.rs
@@ -13,8 +13,8 @@
 
 use std::rc::Rc;
 
-pub use catalog::{Catalog, CatalogError, Narrowed, Overrides, Service, ServiceEntry};
-pub use directory::{Change, Directory, Notified};
+pub use catalog::{Catalog, CatalogError, FilteredList, Overrides, Service, ServiceEntry};
+pub use directory::{Change, Directory, DirectoryUpdate};
 
 use crate::discovery::member::Message;
 use crate::interface::{Action, Event, ListKind, SettingsError, Span, Status, Time};
@@ -36,8 +36,8 @@
 impl Routing {
     /// The service that a request to this host and path is for.
     pub fn find(&self, host: &str, path: &str) -> Option<(ServiceId, &Service)> {
-        let at = self.catalog.route(host, path)?;
-        Some((*self.ids.get(at)?, self.catalog.services.get(at)?))
+        let index = self.catalog.route(host, path)?;
+        Some((*self.ids.get(index)?, self.catalog.services.get(index)?))
     }
 }
 
@@ -74,12 +74,12 @@
     balancer: Option<Balancer>,
     removed: bool,
     /// Requests that the caller holds for it.
-    open: usize,
+    open_requests: usize,
     /// How long idle connections to what leaves are closed again and again.
     close_within: Span,
-    awake_until: Time,
+    active_until: Time,
     /// The timer that it rests from.
-    resting: Option<u64>,
+    suspended_timer: Option<u64>,
 }
 
 /// All services of one balancer.
@@ -119,10 +119,10 @@
         self.slots.push(Slot {
             balancer,
             removed: false,
-            open: 0,
+            open_requests: 0,
             close_within,
-            awake_until: now,
-            resting: None,
+            active_until: now,
+            suspended_timer: None,
         });
         let facts = &service.facts;
         Ok(self.directory.add(&service.name, &facts.zones, &facts.machine_types))
@@ -155,42 +155,42 @@
     /// Upstreams in the list, and those that get nothing now, over all services; for gauges.
     pub fn pool(&self, now: Time) -> (usize, usize) {
         let pools = self.slots.iter().filter_map(|s| Some(s.balancer.as_ref()?.pool(now)));
-        pools.fold((0, 0), |(size, shut), pool| (size + pool.0, shut + pool.1))
+        pools.fold((0, 0), |(size, ejected), pool| (size + pool.0, ejected + pool.1))
     }
 
-    /// The caller holds one more request of this service, until [`Services::closed`].
-    pub fn opened(&mut self, service: ServiceId) {
+    /// The caller holds one more request of this service, until [`Services::request_closed`].
+    pub fn request_opened(&mut self, service: ServiceId) {
         if let Some(slot) = self.slots.get_mut(service.0 as usize) {
-            slot.open += 1;
+            slot.open_requests += 1;
         }
     }
 
     /// The caller is done with a request of this service, and with all of its attempts.
-    pub fn closed(&mut self, service: ServiceId) {
+    pub fn request_closed(&mut self, service: ServiceId) {
         let Some(slot) = self.slots.get_mut(service.0 as usize) else { return };
-        slot.open = slot.open.saturating_sub(1);
-        if slot.removed && slot.open == 0 {
+        slot.open_requests = slot.open_requests.saturating_sub(1);
+        if slot.removed && slot.open_requests == 0 {
             slot.balancer = None;
         }
     }
 
     /// The wall clock reads `wall` at the moment `now`: told before each list.
-    pub fn clock_read(&mut self, wall: Time, now: Time) {
-        self.directory.clock_read(wall, now);
+    pub fn observe_wall_clock(&mut self, wall: Time, now: Time) {
+        self.directory.observe_wall_clock(wall, now);
     }
 
     /// Takes in a list, and says what each service has to be told of it, by [`Services::handle`].
-    pub fn told(&mut self, list: &Message, kind: ListKind) -> Notified {
-        let mut told = self.directory.told(list, kind);
+    pub fn apply_list(&mut self, list: &Message, kind: ListKind) -> DirectoryUpdate {
+        let mut update = self.directory.apply_list(list, kind);
         // Whoever asks for lists hears of each, or it would ask on.
-        if let Some(asks) = self.asks() {
-            told.part(asks);
+        if let Some(subscribing) = self.subscribing_service() {
+            update.members_of(subscribing);
         }
-        told
+        update
     }
 
     /// The service whose timer asks for the list for all of them.
-    fn asks(&self) -> Option<ServiceId> {
+    fn subscribing_service(&self) -> Option<ServiceId> {
         self.directory.services().next()
     }
 
@@ -202,41 +202,42 @@
         event: Event<'_>,
         out: &mut Vec<Action>,
     ) {
-        let asks = self.asks() == Some(service);
+        let subscribes = self.subscribing_service() == Some(service);
         let Some(slot) = self.slots.get_mut(service.0 as usize) else { return };
         let Some(balancer) = &mut slot.balancer else { return };
-        let from = out.len();
-        let told = matches!(event, Event::Members { kind: ListKind::Full | ListKind::Update, .. });
+        let start = out.len();
+        let is_list =
+            matches!(event, Event::Members { kind: ListKind::Full | ListKind::Update, .. });
         match &event {
             Event::Members { kind, .. } => {
-                slot.awake_until = now.plus(slot.close_within);
-                if asks && *kind != ListKind::Restored {
+                slot.active_until = now.plus(slot.close_within);
+                if subscribes && *kind != ListKind::Restored {
                     self.subscribed = *kind != ListKind::Unavailable;
                 }
             }
             Event::Answered(a) if self.directory.status(a.server) != Status::Live => {
-                slot.awake_until = now.plus(slot.close_within);
+                slot.active_until = now.plus(slot.close_within);
             }
             _ => {}
         }
-        let woken = slot.resting.take();
-        if let Some(token) = woken.filter(|_| !matches!(event, Event::Timer(_))) {
+        let suspended = slot.suspended_timer.take();
+        if let Some(token) = suspended.filter(|_| !matches!(event, Event::Timer(_))) {
             balancer.handle(now, Event::Timer(token), out);
         }
         balancer.handle(now, event, out);
-        let idle = slot.open == 0 && now >= slot.awake_until;
-        let asking = asks && self.must_ask && !self.subscribed;
-        let rests = idle && !asking && !self.routing.catalog.is_single();
-        let mut at = from;
-        while at < out.len() {
-            match out[at] {
-                Action::Arm { token, .. } if rests => {
-                    slot.resting = Some(token);
-                    out.remove(at);
+        let idle = slot.open_requests == 0 && now >= slot.active_until;
+        let subscribing = subscribes && self.must_ask && !self.subscribed;
+        let suspends = idle && !subscribing && !self.routing.catalog.is_single();
+        let mut i = start;
+        while i < out.len() {
+            match out[i] {
+                Action::Arm { token, .. } if suspends => {
+                    slot.suspended_timer = Some(token);
+                    out.remove(i);
                 }
                 // What is told now need not be asked for by the tick that it woke.
-                Action::Subscribe if !asks || told => drop(out.remove(at)),
-                _ => at += 1,
+                Action::Subscribe if !subscribes || is_list => drop(out.remove(i)),
+                _ => i += 1,
             }
         }
     }
@@ -250,36 +251,40 @@
         if catalog.is_single() != self.is_single() {
             return Err(ReloadError::Kind);
         }
-        let before = self.routing.clone();
-        let at = |name: &str| before.catalog.services.iter().position(|s| s.name == name);
-        let kept: Vec<Option<usize>> = catalog.services.iter().map(|s| at(&s.name)).collect();
-        for (i, (service, at)) in catalog.services.iter().zip(&kept).enumerate() {
-            if at.is_some_and(|at| before.catalog.services[at].facts != service.facts) {
+        let previous = self.routing.clone();
+        let previous_index =
+            |name: &str| previous.catalog.services.iter().position(|s| s.name == name);
+        let retained: Vec<Option<usize>> =
+            catalog.services.iter().map(|s| previous_index(&s.name)).collect();
+        for (i, (service, index)) in catalog.services.iter().zip(&retained).enumerate() {
+            if index.is_some_and(|index| previous.catalog.services[index].facts != service.facts) {
                 return Err(ReloadError::Settings(i));
             }
             // Checked before anything is changed.
             service.facts.settings().checked()?;
         }
-        let stays = |i: usize| kept.contains(&Some(i));
+        let is_retained = |i: usize| retained.contains(&Some(i));
         let (mut removed, mut changes) = (Vec::new(), Vec::new());
-        for (i, service) in before.catalog.services.iter().enumerate().filter(|(i, _)| !stays(*i)) {
-            let id = before.ids[i];
+        for (i, service) in
+            previous.catalog.services.iter().enumerate().filter(|(i, _)| !is_retained(*i))
+        {
+            let id = previous.ids[i];
             changes.extend(self.directory.remove(&service.name));
             let slot = &mut self.slots[id.0 as usize];
             slot.removed = true;
-            if slot.open == 0 {
+            if slot.open_requests == 0 {
                 slot.balancer = None;
             }
             removed.push(id);
         }
-        let mut ids = Vec::with_capacity(kept.len());
-        for (service, at) in catalog.services.iter().zip(&kept) {
-            ids.push(match at {
-                Some(at) => before.ids[*at],
+        let mut ids = Vec::with_capacity(retained.len());
+        for (service, index) in catalog.services.iter().zip(&retained) {
+            ids.push(match index {
+                Some(index) => previous.ids[*index],
                 None => self.add(service, now)?,
             });
         }
-        let added = kept.iter().filter(|at| at.is_none()).count();
+        let added = retained.iter().filter(|index| index.is_none()).count();
         self.routing = Rc::new(Routing { catalog, ids });
         Ok(Reloaded { routing: self.routing.clone(), removed, added, changes })
     }
--- a/src/services/tests.rs
+++ b/src/services/tests.rs
@@ -63,7 +63,7 @@
         Self { services, now, timers, fired: 0, actions, revision: 0 }
     }
 
-    fn tell(&mut self, service: ServiceId, event: Event<'_>) {
+    fn handle(&mut self, service: ServiceId, event: Event<'_>) {
         let mut out = Vec::new();
         self.services.handle(self.now, service, event, &mut out);
         for action in out {
@@ -74,18 +74,18 @@
         }
     }
 
-    fn list(&mut self, kind: ListKind, members: Vec<Entry>) -> Notified {
+    fn list(&mut self, kind: ListKind, members: Vec<Entry>) -> DirectoryUpdate {
         self.revision += 1;
         let complete = kind != ListKind::Update;
         let list = Message { revision: self.revision, complete, members };
-        let told = self.services.told(&list, kind);
-        for (service, members) in &told.members {
-            self.tell(*service, Event::Members { kind, list: members });
+        let update = self.services.apply_list(&list, kind);
+        for (service, members) in &update.members {
+            self.handle(*service, Event::Members { kind, list: members });
         }
-        told
+        update
     }
 
-    fn pass(&mut self, span: Span) {
+    fn advance(&mut self, span: Span) {
         let end = self.now.plus(span);
         while let Some(i) = (0..self.timers.len()).min_by_key(|i| self.timers[*i].2) {
             if self.timers[i].2 > end {
@@ -94,26 +94,26 @@
             let (service, token, at) = self.timers.swap_remove(i);
             self.now = self.now.max(at);
             self.fired += 1;
-            self.tell(service, Event::Timer(token));
+            self.handle(service, Event::Timer(token));
         }
         self.now = end;
     }
 
     fn request(&mut self, service: ServiceId, id: u64) -> Option<ServerId> {
-        self.services.opened(service);
+        self.services.request_opened(service);
         let request = Request::new(RequestId(id), 0, self.now.plus(Span(600 * MS)));
         let from = self.actions.len();
-        self.tell(service, Event::Request(request));
+        self.handle(service, Event::Request(request));
         self.actions[from..].iter().find_map(|(_, action)| match action {
             Action::Send { server, .. } => Some(*server),
             _ => None,
         })
     }
 
-    fn served(&mut self, service: ServiceId, id: u64, server: ServerId) {
+    fn complete(&mut self, service: ServiceId, id: u64, server: ServerId) {
         let answer = Answer::new(RequestId(id), 0, server, Outcome::Ok, Span(10 * MS), true);
-        self.tell(service, Event::Answered(answer));
-        self.services.closed(service);
+        self.handle(service, Event::Answered(answer));
+        self.services.request_closed(service);
     }
 
     fn count(&self, which: impl Fn(&Action) -> bool) -> usize {
@@ -133,80 +133,82 @@
 }
 
 /// Timers that fire while one service of this many is busy for a second, and then for a second of quiet.
-fn timers_beside(idle: usize) -> (usize, usize) {
+fn timers_fired_beside(idle: usize) -> (usize, usize) {
     let names = names(idle + 1);
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut caller = Caller::new(&names);
     caller.list(ListKind::Full, fleet(&names, 3));
-    caller.pass(Span(1000 * MS));
+    caller.advance(Span(1000 * MS));
     caller.fired = 0;
     let busy = ServiceId(0);
     for id in 0..100 {
         let server = caller.request(busy, id).expect("it is sent");
-        caller.pass(Span(10 * MS));
-        caller.served(busy, id, server);
+        caller.advance(Span(10 * MS));
+        caller.complete(busy, id, server);
     }
     let fired = std::mem::take(&mut caller.fired);
-    caller.pass(Span(1000 * MS));
+    caller.advance(Span(1000 * MS));
     (fired, caller.fired)
 }
 
 #[test]
-fn idle_services_beside_a_busy_one_cost_no_tick() {
-    let (busy, quiet) = timers_beside(0);
+fn idle_services_fire_no_timers() {
+    let (busy, quiet) = timers_fired_beside(0);
     assert!(busy >= 50, "a busy service ticks: {busy}");
     assert!(quiet <= 1, "and rests when it is done: {quiet}");
-    assert_eq!(timers_beside(209), (busy, quiet));
+    assert_eq!(timers_fired_beside(209), (busy, quiet));
 }
 
 #[test]
-fn a_change_costs_the_service_that_it_names() {
+fn a_list_update_reaches_only_the_services_it_names() {
     for services in [2, 210] {
         let names = names(services);
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let mut caller = Caller::new(&names);
-        let told = caller.list(ListKind::Full, fleet(&names, 3));
-        assert_eq!((told.members.len(), told.changes.len()), (services, 3 * services));
+        let update = caller.list(ListKind::Full, fleet(&names, 3));
+        assert_eq!((update.members.len(), update.changes.len()), (services, 3 * services));
         // Of the first service, which asks for all, there is a part in any case.
-        let told = caller.list(ListKind::Update, vec![entry("svc-1-0", "svc-1", Phase::Draining)]);
-        let parts: Vec<_> = told.members.iter().map(|(s, part)| (s.0, part.len())).collect();
-        assert_eq!((parts, told.changes.len()), (vec![(0, 0), (1, 1)], 1));
+        let update =
+            caller.list(ListKind::Update, vec![entry("svc-1-0", "svc-1", Phase::Draining)]);
+        let affected: Vec<_> =
+            update.members.iter().map(|(s, members)| (s.0, members.len())).collect();
+        assert_eq!((affected, update.changes.len()), (vec![(0, 0), (1, 1)], 1));
     }
 }
 
 #[test]
-fn one_service_asks_for_the_list_of_all() {
+fn one_service_subscribes_for_all() {
     let mut caller = Caller::new(&["a", "b", "c"]);
     caller.list(ListKind::Restored, Vec::new());
-    caller.pass(Span(2000 * MS));
+    caller.advance(Span(2000 * MS));
     let asked = caller.count(|a| matches!(a, Action::Subscribe));
     assert!(asked >= 1, "it is asked for");
-    let of_others = caller.actions.iter().filter(|(s, a)| s.0 > 0 && *a == Action::Subscribe);
-    assert_eq!(of_others.count(), 0);
+    let by_others = caller.actions.iter().filter(|(s, a)| s.0 > 0 && *a == Action::Subscribe);
+    assert_eq!(by_others.count(), 0);
     caller.list(ListKind::Full, fleet(&["a", "b"], 1));
-    caller.pass(Span(1000 * MS));
+    caller.advance(Span(1000 * MS));
     let asked = caller.count(|a| matches!(a, Action::Subscribe));
     caller.fired = 0;
-    caller.pass(Span(60_000 * MS));
+    caller.advance(Span(60_000 * MS));
     assert_eq!(caller.count(|a| matches!(a, Action::Subscribe)), asked, "it was told");
     assert_eq!(caller.fired, 0, "all rest");
     // What is lost is asked for again, though all rest.
     for service in caller.services.ids() {
-        caller.tell(service, Event::Members { kind: ListKind::Unavailable, list: &[] });
+        caller.handle(service, Event::Members { kind: ListKind::Unavailable, list: &[] });
     }
-    caller.pass(Span(4000 * MS));
+    caller.advance(Span(4000 * MS));
     assert!(caller.count(|a| matches!(a, Action::Subscribe)) > asked);
 }
 
 #[test]
-fn an_upstream_that_moves_is_gone_where_it_was_and_another_where_it_is() {
+fn an_upstream_that_changes_service_gets_a_new_id() {
     let mut caller = Caller::new(&["a", "b"]);
     let (a, b) = (ServiceId(0), ServiceId(1));
     caller.list(ListKind::Full, vec![entry("s", "a", Phase::Serving)]);
     let first = caller.request(a, 1).expect("sent");
-    let told = caller.list(ListKind::Update, vec![entry("s", "b", Phase::Serving)]);
-    assert_eq!(told.changes.len(), 2);
-    assert_eq!((told.changes[0].server, told.changes[0].status), (first, Status::Gone));
+    let update = caller.list(ListKind::Update, vec![entry("s", "b", Phase::Serving)]);
+    assert_eq!(update.changes.len(), 2);
+    assert_eq!((update.changes[0].server, update.changes[0].status), (first, Status::Gone));
     assert_eq!(caller.request(a, 2), None, "gone there");
     let second = caller.request(b, 3).expect("sent");
     assert_ne!(first, second);
@@ -221,42 +223,42 @@
 }
 
 #[test]
-fn what_a_whole_list_leaves_out_is_gone_in_every_service() {
+fn a_full_list_removes_unlisted_upstreams_of_every_service() {
     let mut caller = Caller::new(&["a", "b"]);
     caller.list(ListKind::Full, fleet(&["a", "b"], 2));
-    let told = caller.list(ListKind::Full, fleet(&["a"], 1));
-    let gone = told.changes.iter().filter(|c| c.status == Status::Gone).count();
+    let update = caller.list(ListKind::Full, fleet(&["a"], 1));
+    let gone = update.changes.iter().filter(|c| c.status == Status::Gone).count();
     assert_eq!(gone, 3);
     assert_eq!(caller.request(ServiceId(1), 1), None);
     assert!(caller.request(ServiceId(0), 2).is_some());
 }
 
 #[test]
-fn idle_connections_to_what_leaves_are_closed_in_time_and_then_the_service_rests() {
+fn idle_connections_of_draining_upstreams_are_closed_before_suspension() {
     let mut caller = Caller::new(&["a", "b"]);
     caller.list(ListKind::Full, fleet(&["a", "b"], 1));
     let server = caller.request(ServiceId(1), 1).expect("sent");
-    caller.pass(Span(200 * MS));
+    caller.advance(Span(200 * MS));
     caller.list(ListKind::Update, vec![entry("b-0", "b", Phase::Draining)]);
-    caller.pass(Span(200 * MS));
+    caller.advance(Span(200 * MS));
     let closes = |c: &Caller| c.count(|a| *a == Action::CloseIdle { server });
     let before = closes(&caller);
-    caller.served(ServiceId(1), 1, server);
-    caller.pass(Span(100 * MS));
+    caller.complete(ServiceId(1), 1, server);
+    caller.advance(Span(100 * MS));
     assert!(
         closes(&caller) > before + 1,
         "on the outcome, and once a sweep for as long as the rule"
     );
     caller.fired = 0;
-    caller.pass(Span(10_000 * MS));
+    caller.advance(Span(10_000 * MS));
     assert!(caller.fired <= 1, "then it rests: {}", caller.fired);
 }
 
 #[test]
-fn a_catalog_takes_the_place_of_another_and_what_stays_goes_on() {
+fn reload_keeps_services_that_both_catalogs_name() {
     let mut caller = Caller::new(&["a", "b"]);
     caller.list(ListKind::Full, fleet(&["a", "b"], 1));
-    let out = caller.request(ServiceId(1), 1).expect("sent");
+    let server = caller.request(ServiceId(1), 1).expect("sent");
     let reloaded = caller.services.reload(catalog(&["c", "a"]), caller.now).expect("it can");
     assert_eq!((reloaded.removed.clone(), reloaded.added), (vec![ServiceId(1)], 1));
     assert_eq!(reloaded.changes.len(), 1);
@@ -266,8 +268,8 @@
     assert_eq!(found("/c"), Some((ServiceId(2), "c".into())));
     assert_eq!(found("/b"), None);
     // What is out there ends in its time.
-    caller.tell(ServiceId(1), Event::Members { kind: ListKind::Full, list: &[] });
-    caller.served(ServiceId(1), 1, out);
+    caller.handle(ServiceId(1), Event::Members { kind: ListKind::Full, list: &[] });
+    caller.complete(ServiceId(1), 1, server);
     assert!(caller.services.slots[1].balancer.is_none(), "and then nothing is kept of it");
     caller.list(ListKind::Full, fleet(&["a", "c"], 1));
     assert!(caller.request(ServiceId(2), 2).is_some());
@@ -289,51 +291,51 @@
 }
 
 #[test]
-fn a_single_service_takes_every_upstream_and_never_rests() {
+fn a_single_service_takes_every_upstream_and_is_never_suspended() {
     let catalog = Rc::new(Catalog::single(&facts("automatic")).expect("sound"));
     let mut caller = Caller::new(&["unused"]);
     caller.services = Services::new(catalog, 7, caller.now).expect("sound");
     caller.list(ListKind::Full, vec![entry("s", "any", Phase::Serving)]);
-    caller.pass(Span(1000 * MS));
+    caller.advance(Span(1000 * MS));
     assert!(caller.fired >= 100, "its timer as ever: {}", caller.fired);
     assert!(caller.request(ServiceId(0), 1).is_some());
     assert!(caller.services.routing().find("any.example", "/any").is_some());
 }
 
 #[test]
-fn a_list_from_before_is_followed_on_only_where_it_names_every_service() {
+fn a_stored_list_is_resumed_only_if_it_covers_every_service() {
     let list = |members| Message { revision: 7, complete: true, members };
-    let narrowed = |mut list: Message| {
-        let narrowed = catalog(&["a", "b"]).narrow(&mut list);
-        (narrowed.changed, narrowed.whole, list.members.len(), list.complete)
+    let filtered = |mut list: Message| {
+        let filtered = catalog(&["a", "b"]).filter_list(&mut list);
+        (filtered.changed, filtered.covers_all_services, list.members.len(), list.complete)
     };
-    assert_eq!(narrowed(list(fleet(&["a", "b"], 2))), (false, true, 4, true));
-    assert_eq!(narrowed(list(fleet(&["a"], 2))), (false, false, 2, true));
-    assert_eq!(narrowed(list(fleet(&["a", "b", "c"], 1))), (true, true, 2, true));
-    assert_eq!(narrowed(list(Vec::new())), (false, false, 0, true));
+    assert_eq!(filtered(list(fleet(&["a", "b"], 2))), (false, true, 4, true));
+    assert_eq!(filtered(list(fleet(&["a"], 2))), (false, false, 2, true));
+    assert_eq!(filtered(list(fleet(&["a", "b", "c"], 1))), (true, true, 2, true));
+    assert_eq!(filtered(list(Vec::new())), (false, false, 0, true));
     let single = Catalog::single(&facts("subscribe")).expect("sound");
-    let expect = Narrowed { changed: false, whole: true };
-    assert_eq!(single.narrow(&mut list(fleet(&["c"], 1))), expect);
+    let expect = FilteredList { changed: false, covers_all_services: true };
+    assert_eq!(single.filter_list(&mut list(fleet(&["c"], 1))), expect);
 }
 
 #[test]
-fn a_list_that_is_told_is_not_asked_for_by_the_tick_that_it_woke() {
+fn a_received_list_is_not_subscribed_for_again() {
     let mut caller = Caller::new(&["a", "b"]);
     caller.list(ListKind::Restored, fleet(&["a", "b"], 1));
-    caller.pass(Span(100 * MS));
+    caller.advance(Span(100 * MS));
     caller.services.reload(catalog(&["b"]), caller.now).expect("it can");
     // It rests, has never been told a list, and asks for all from now on.
     caller.now = caller.now.plus(Span(10_000 * MS));
     caller.list(ListKind::Full, fleet(&["b"], 1));
-    let of_b = caller.actions.iter().filter(|(s, a)| s.0 == 1 && *a == Action::Subscribe);
-    assert_eq!(of_b.count(), 0);
+    let by_b = caller.actions.iter().filter(|(s, a)| s.0 == 1 && *a == Action::Subscribe);
+    assert_eq!(by_b.count(), 0);
 }
 
 proptest! {
     /// As a walk over the tenants in their order finds it: of two of one name the first, a request without a name is
     /// that of a tenant without one, an unknown name is nobody's, and where there are no tenants every name is the first.
     #[test]
-    fn a_tenant_is_the_first_of_its_name(
+    fn tenant_lookup_finds_the_first_of_a_name(
         names in prop::collection::vec("[ab]{0,2}", 0..12),
         asked in prop::collection::vec("[abc]{0,2}", 1..8),
     ) {
@@ -342,15 +344,15 @@
         let facts = facts("subscribe");
         let settings = Overrides { tenants: tenants.clone(), ..Overrides::default() };
         let entry = ServiceEntry { name: "a".into(), settings };
-        let among = Catalog::new(&facts, &[entry], &[]).expect("sound");
+        let multiple = Catalog::new(&facts, &[entry], &[]).expect("sound");
         let single = Catalog::single(&Facts { tenants, ..facts }).expect("sound");
         for asked in asked.iter().chain(&names) {
-            let walked = match names.is_empty() {
+            let expected = match names.is_empty() {
                 true => Some(0),
                 false => names.iter().position(|n| n == asked),
             };
-            for catalog in [&among, &single] {
-                prop_assert_eq!(catalog.services[0].tenant(asked), walked, "{:?} of {:?}", asked, &names);
+            for catalog in [&multiple, &single] {
+                prop_assert_eq!(catalog.services[0].tenant(asked), expected, "{:?} of {:?}", asked, &names);
             }
         }
     }
--- a/tests/services.rs
+++ b/tests/services.rs
@@ -295,7 +295,7 @@
         let held = self.held.get_mut(&request).expect("a request that is there");
         if held.over && !held.closed && held.attempts.iter().all(|(.., out)| !out) {
             held.closed = true;
-            self.services.closed(held.service);
+            self.services.request_closed(held.service);
         }
     }
 
@@ -360,7 +360,7 @@
         self.revision += 1;
         let concerned = self.learn(kind, &members);
         let list = Message { revision: self.revision, complete: kind != ListKind::Update, members };
-        let told = self.services.told(&list, kind);
+        let told = self.services.apply_list(&list, kind);
         for change in &told.changes {
             let server = self.servers.entry(change.server);
             let (id, _) = server.or_insert_with(|| (change.id.clone(), None));
@@ -504,7 +504,7 @@
                 let id = number as u64;
                 let (attempts, over, closed) = (Vec::new(), false, false);
                 self.held.insert(id, Held { service, name, over, attempts, closed });
-                self.services.opened(service);
+                self.services.request_opened(service);
                 let request = Request::new(RequestId(id), 0, self.now.plus(Span(300 * MS)));
                 self.tell(service, Event::Request(request));
             }
@@ -553,10 +553,10 @@
             }
             let (mut out, until) = (Vec::new(), self.now.plus(Span(200 * MS)));
             let request = Request::new(RequestId(u64::MAX), 0, until);
-            self.services.opened(service);
+            self.services.request_opened(service);
             self.services.handle(self.now, service, Event::Request(request), &mut out);
             self.services.handle(self.now, service, Event::Timer(1), &mut out);
-            self.services.closed(service);
+            self.services.request_closed(service);
             assert!(out.is_empty(), "{service:?} was removed and says {out:?}");
         }
     }
