--- a/src/services/catalog.rs
+++ b/src/services/catalog.rs
@@ -1,5 +1,5 @@
-//! What a balancer's configuration says of its services: their names, settings and routes, checked whole before any
-//! of it is used.
+//! The services of a balancer's configuration: their names, settings and routes. All of it is validated before any
+//! part is used.
 
 use rustc_hash::{FxHashMap, FxHashSet};
 use serde::Deserialize;
@@ -10,34 +10,34 @@
 use crate::routing::{Route, RouteError, RouteTable};
 use crate::settings::{Class, CountedBy, Facts, Prices, Safety, Tenant};
 
-/// A service as the configuration states it.
+/// A service as written in the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceEntry {
-    /// As the list's members and the routes name it.
+    /// The name by which list members and routes refer to the service.
     pub name: String,
-    /// What differs from the balancer's settings.
+    /// Settings that differ from those of the balancer.
     #[serde(default)]
     pub settings: Overrides,
 }
 
-/// Settings of one service, in place of the balancer's. What is the process's own (zones, position, limits,
-/// how lists come) can't be set here.
+/// Settings of one service that replace those of the balancer. Settings of the whole process (zones, position, limits,
+/// how lists are received) can't be set here.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "PascalCase", deny_unknown_fields, default)]
 pub struct Overrides {
     /// Request classes.
     #[serde(rename = "Services")]
     pub classes: Option<Vec<Class>>,
-    /// Tenants; a service has those that it states.
+    /// Tenants. Those of the balancer's settings are not inherited.
     pub tenants: Vec<Tenant>,
-    /// Figures of the rules.
+    /// Parameters of the safety rules.
     pub safety: Option<Safety>,
-    /// What things cost.
+    /// Prices that the policy weighs its choices by.
     pub prices: Option<Prices>,
-    /// How worth is counted.
+    /// How the worth of requests is counted.
     pub counted_by: Option<CountedBy>,
-    /// Worth of a request beyond its tenant's share.
+    /// Worth of a request that exceeds its tenant's share.
     pub over_share_worth: Option<f64>,
 }
 
@@ -62,14 +62,14 @@
     }
 }
 
-/// A service, ready to be served.
+/// A service with validated settings.
 #[derive(Debug)]
 pub struct Service {
-    /// Its name; empty for the one service of a balancer without any.
+    /// Its name; empty for the single service of a balancer whose configuration names none.
     pub name: String,
     /// Its settings.
     pub facts: Facts,
-    /// What a repeat of each class can do.
+    /// The effect of repeating a request, by class index.
     pub effects: Vec<Effect>,
     classes: FxHashMap<String, usize>,
     tenants: FxHashMap<String, usize>,
@@ -78,7 +78,7 @@
 impl Service {
     fn new(name: String, facts: Facts) -> Result<Self, SettingsError> {
         let settings = facts.settings().checked()?;
-        // Of two of one name the first counts.
+        // Of two entries with the same name, the first is used.
         fn by_name<'a>(names: impl Iterator<Item = &'a String>) -> FxHashMap<String, usize> {
             let mut by_name = FxHashMap::default();
             for (i, name) in names.enumerate() {
@@ -92,21 +92,21 @@
         Ok(Self { name, facts, effects, classes, tenants })
     }
 
-    /// The index of the class of this name.
+    /// The index of the class with this name.
     pub fn class(&self, name: &str) -> Option<usize> {
         self.classes.get(name).copied()
     }
 
-    /// The index of the tenant of this name; 0 where the service tells none apart.
+    /// The index of the tenant with this name; 0 for every name if the service has no tenants.
     pub fn tenant(&self, name: &str) -> Option<usize> {
         if self.tenants.is_empty() { Some(0) } else { self.tenants.get(name).copied() }
     }
 }
 
-/// Why a configuration's services can't be served, by the key at fault.
+/// Why the services of a configuration are invalid, with the key at fault.
 #[derive(Debug, thiserror::Error)]
 pub enum CatalogError {
-    /// A key whose value can't be.
+    /// The value of a key is invalid.
     #[error("{key}: {cause}")]
     Invalid {
         /// The key.
@@ -114,10 +114,10 @@
         /// What is wrong with it.
         cause: String,
     },
-    /// A route that can't be.
+    /// A route is invalid.
     #[error(transparent)]
     Route(#[from] RouteError),
-    /// Settings that no balancer can work to.
+    /// The settings of a service are invalid.
     #[error("{key}: {cause}")]
     Settings {
         /// The key.
@@ -127,41 +127,43 @@
     },
 }
 
-/// What became of a list from before.
+/// The result of [`Catalog::filter_list`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FilteredList {
-    /// Whether it named upstreams of no service here.
+    /// Whether members of services that are not in the catalog were removed.
     pub changed: bool,
-    /// Whether each service has upstreams in it: one that has none may not have been followed then, and the whole
-    /// list has to be asked for.
+    /// Whether the list has members of every service in the catalog. A service without members may not have been
+    /// followed when the list was stored, so the full list has to be requested.
     pub covers_all_services: bool,
 }
 
-/// All services of a balancer, and which requests are whose.
+/// All services of a balancer, with the routes to them.
 #[derive(Debug)]
 pub struct Catalog {
-    /// In the configuration's order.
+    /// In the order of the configuration.
     pub services: Vec<Service>,
-    /// `None` for a balancer with one service, which takes every request and every upstream.
+    /// `None` for a single service, which takes every request and every upstream.
     routes: Option<RouteTable>,
 }
 
 impl Catalog {
-    /// One service that takes every request and every upstream: a configuration without `services`.
+    /// A catalog with a single service that takes every request and every upstream, for a configuration without
+    /// `services`.
     ///
     /// # Errors
-    /// [`CatalogError::Settings`].
+    /// [`CatalogError::Settings`] if the settings are invalid.
     pub fn single(facts: &Facts) -> Result<Self, CatalogError> {
         let service = Service::new(String::new(), facts.clone())
             .map_err(|cause| CatalogError::Settings { key: "settings".into(), cause })?;
         Ok(Self { services: vec![service], routes: None })
     }
 
-    /// These services behind these routes, each with the balancer's settings where it states none of its own.
+    /// A catalog of these services and routes. A service has the balancer's settings (`base`) where it states none of
+    /// its own, except that tenants are not inherited.
     ///
     /// # Errors
-    /// [`CatalogError`]: no service at all, two of one name, a name that can't be, settings that no balancer can
-    /// work to, a route that can't be or leads nowhere, tenants that belong to no service.
+    /// [`CatalogError`] if there are no services, two have the same name, a name or the settings of one are invalid, a
+    /// route is invalid or names an unknown service, or `base` has tenants.
     pub fn new(
         base: &Facts,
         services: &[ServiceEntry],
@@ -197,12 +199,12 @@
         Ok(Self { services: checked, routes: Some(routes) })
     }
 
-    /// Whether every request and every upstream is one service's.
+    /// Whether there is a single service for all requests and upstreams.
     pub fn is_single(&self) -> bool {
         self.routes.is_none()
     }
 
-    /// Which service a request to this host and path is for, as an index into `services`.
+    /// The service for a request to this host and path, as an index into `services`; `None` if no route matches.
     pub fn route(&self, host: &str, path: &str) -> Option<usize> {
         match &self.routes {
             Some(routes) => routes.find(host, path),
@@ -210,7 +212,7 @@
         }
     }
 
-    /// Takes out of a list from before what is of no service here.
+    /// Removes from a stored list the members of services that are not in the catalog.
     pub fn filter_list(&self, list: &mut Message) -> FilteredList {
         if self.is_single() {
             return FilteredList { changed: false, covers_all_services: true };
@@ -227,7 +229,7 @@
         FilteredList { changed, covers_all_services: missing.is_empty() }
     }
 
-    /// The names that members of the list carry; `None` where all are wanted.
+    /// The service names to request list members for; `None` to request all members.
     pub fn names(&self) -> Option<Vec<String>> {
         let names = || self.services.iter().map(|s| s.name.clone()).collect();
         (!self.is_single()).then(names)
--- a/src/services/directory.rs
+++ b/src/services/directory.rs
@@ -1,4 +1,4 @@
-//! Who is who: the upstreams that the list has named, the service of each, and the handle that each is known by.
+//! The directory of upstreams: every upstream that the list has named, its service and its [`ServerId`].
 
 use std::net::SocketAddr;
 
@@ -11,33 +11,33 @@
 use super::ServiceId;
 use super::wall_clock::WallClock;
 
-/// What became of one upstream, for whoever holds connections to it.
+/// The new state of one upstream, for the code that manages the connections to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     /// The upstream.
     pub server: ServerId,
     /// Its id in the list.
     pub id: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// What it is now.
+    /// Its current status.
     pub status: Status,
 }
 
-/// What one list tells.
+/// The effect of one list on the directory.
 #[derive(Debug, Default)]
 pub struct DirectoryUpdate {
-    /// What became of each upstream that the list names, and of those that a whole one leaves out.
+    /// The state of each upstream that the list names, and of those that a full list no longer names.
     pub changes: Vec<Change>,
-    /// Each service's members in the module's words, in the list's order. Of a whole list every service has its part,
-    /// be it empty.
+    /// The members of each service in the policy's form, in the list's order, sorted by service. A full list has an
+    /// entry for every service, even without members.
     pub members: Vec<(ServiceId, Vec<Member>)>,
 }
 
 impl DirectoryUpdate {
-    /// The part of this service, made where there is none yet.
+    /// The members of this service; adds an empty entry if there is none.
     pub fn members_of(&mut self, service: ServiceId) -> &mut Vec<Member> {
-        // A whole list has the parts in order; one of changes has few.
+        // Insertion is cheap: a full list has all entries from the start, and an update has few.
         let index = match self.members.binary_search_by_key(&service, |(id, _)| *id) {
             Ok(index) => index,
             Err(index) => {
@@ -55,39 +55,44 @@
     service: ServiceId,
     address: SocketAddr,
     status: Status,
-    /// When it started, as the list says it and on the module's clock: read once, or a step would be a restart.
+    /// The start as the list states it, in Unix milliseconds of the wall clock; 0 means long ago.
     up_since_ms: f64,
+    /// The start on the monotonic clock. Converted only when `up_since_ms` changes, or else a step of the wall clock
+    /// would look like a restart of the upstream.
     started: Option<Time>,
 }
 
 #[derive(Debug)]
 struct ServiceUpstreams {
-    /// Names that the service's settings give an index.
+    /// Zone names of the service's settings; the policy refers to them by index.
     zones: Vec<String>,
+    /// Machine type names of the service's settings, likewise.
     machine_types: Vec<String>,
-    /// Every upstream that it ever had.
+    /// Every upstream that the service has had, including those that are gone.
     servers: Vec<ServerId>,
 }
 
-/// The upstreams by service, and by the handle that the module and the connections know them by. One that moves to
-/// another service is another upstream there: what was sent to it before stays with the service that sent it.
+/// The upstreams by service and by [`ServerId`], the id that the policy and the connections use. An upstream that
+/// moves to another service gets a new [`ServerId`], so that its open attempts still belong to the service that sent
+/// them.
 #[derive(Debug)]
 pub struct Directory {
-    /// Whether one service takes every upstream, whatever service it names.
+    /// Whether there is a single service, which takes every upstream regardless of the service that the list names.
     single: bool,
-    /// By [`ServiceId`]; `None` once it was removed.
+    /// By [`ServiceId`]; `None` for a removed service.
     per_service: Vec<Option<ServiceUpstreams>>,
     by_name: FxHashMap<String, ServiceId>,
-    /// By the list's id.
+    /// By the id in the list.
     by_id: FxHashMap<String, ServerId>,
     /// By [`ServerId`].
     servers: Vec<KnownUpstream>,
+    /// The number of upstreams with [`Status::Live`].
     live_count: usize,
     wall_clock: WallClock,
 }
 
 impl Directory {
-    /// Without services yet.
+    /// A directory without services. `single` says that the one service to be added takes every upstream.
     pub fn new(single: bool) -> Self {
         Self {
             single,
@@ -100,12 +105,13 @@
         }
     }
 
-    /// The wall clock reads `wall` at the moment `now`: told before each list, so that starts are read right.
+    /// Records that the wall clock reads `wall` at the time `now`. Call it before [`Directory::apply_list`], which
+    /// converts start times by it.
     pub fn observe_wall_clock(&mut self, wall: Time, now: Time) {
         self.wall_clock.record(wall, now);
     }
 
-    /// Takes in a service with the zones and kinds that its settings name. Its upstreams come with the next whole
+    /// Adds a service with the zones and machine types that its settings name. It gets its upstreams with the next full
     /// list.
     pub fn add(&mut self, name: &str, zones: &[String], machine_types: &[String]) -> ServiceId {
         let service = ServiceId(self.per_service.len() as u32);
@@ -115,7 +121,7 @@
         service
     }
 
-    /// Forgets the service of this name: what it had is gone.
+    /// Removes the service of this name. Returns the changes of its upstreams, all of which are gone now.
     pub fn remove(&mut self, name: &str) -> Vec<Change> {
         let service = self.by_name.remove(name);
         let Some(upstreams) = service.and_then(|s| self.per_service[s.0 as usize].take()) else {
@@ -135,17 +141,17 @@
         changes
     }
 
-    /// Whether any upstream takes requests.
+    /// Whether any upstream takes new requests.
     pub fn any_live(&self) -> bool {
         self.live_count > 0
     }
 
-    /// What this upstream is.
+    /// The status of this upstream; [`Status::Gone`] if it is not known.
     pub fn status(&self, server: ServerId) -> Status {
         self.servers.get(server.0 as usize).map_or(Status::Gone, |s| s.status)
     }
 
-    /// Services by their handles, in order.
+    /// The ids of the services that are not removed, in ascending order.
     pub fn services(&self) -> impl Iterator<Item = ServiceId> {
         (0u32..)
             .zip(&self.per_service)
@@ -164,7 +170,8 @@
         Change { server, id: id.clone(), address: *address, status: *status }
     }
 
-    /// Takes in a list: a change costs what it names, a whole list what there is.
+    /// Applies a list. The cost of an update is proportional to the members it names, that of a full list to all known
+    /// upstreams.
     pub fn apply_list(&mut self, list: &Message, kind: ListKind) -> DirectoryUpdate {
         let mut update = DirectoryUpdate::default();
         if kind != ListKind::Update {
@@ -177,7 +184,7 @@
         update
     }
 
-    /// What a whole list leaves out is gone.
+    /// Marks the upstreams that a full list does not name as gone.
     fn remove_unlisted(&mut self, list: &Message, changes: &mut Vec<Change>) {
         let listed: FxHashSet<&str> = list.members.iter().map(|m| m.id.as_str()).collect();
         let unlisted = self.by_id.iter().filter(|(id, _)| !listed.contains(id.as_str()));
@@ -192,7 +199,7 @@
     fn apply_entry(&mut self, entry: &Entry, update: &mut DirectoryUpdate) {
         let known = self.by_id.get(&entry.id).copied();
         let current_service = known.map(|server| self.servers[server.0 as usize].service);
-        // One that is deleted may no longer say whose it was.
+        // The entry of a deleted upstream may no longer name its service.
         let service = match (self.single, entry.phase) {
             (true, _) => Some(ServiceId(0)),
             (false, Phase::Deleted) if current_service.is_some() => current_service,
@@ -201,7 +208,7 @@
         if let (Some(server), Some(previous_service)) =
             (known, current_service.filter(|current| service != Some(*current)))
         {
-            // It serves another one now, which may be none of ours.
+            // The upstream has moved to another service, possibly one that is not served here.
             self.by_id.remove(&entry.id);
             if self.status(server) != Status::Gone {
                 self.set_status(server, Status::Gone);
@@ -214,10 +221,15 @@
         }
         let Some(service) = service else { return };
         let known = self.by_id.get(&entry.id).copied();
-        // Without a valid address the last one stands: that it drains must not be lost with it.
+        // With an invalid address the previous one is used, so that a change of phase such as draining still takes
+        // effect.
         let last_address = known.map(|server| self.servers[server.0 as usize].address);
         let Some(address) = entry.host_port.parse().ok().or(last_address) else {
-            tracing::warn!(id = entry.id, address = entry.host_port, "no such address");
+            tracing::warn!(
+                id = entry.id,
+                address = entry.host_port,
+                "ignoring list member with an invalid address"
+            );
             return;
         };
         let server = known.unwrap_or_else(|| self.register(entry, service, address));
@@ -259,10 +271,10 @@
         known.started = (up_since_ms > 0.0).then(|| self.wall_clock.start_time(by_wall_clock));
     }
 
-    /// The entry in the module's words.
+    /// Converts a list entry to the policy's form.
     fn member(&self, service: ServiceId, server: ServerId, entry: &Entry) -> Option<Member> {
         let upstreams = self.per_service.get(service.0 as usize)?.as_ref()?;
-        // A name that the settings don't have is none of those that they do.
+        // A name that is not in the settings gets the index after the last one.
         let index = |names: &[String], name: &str| {
             names.iter().position(|n| n == name).unwrap_or(names.len()) as u32
         };
--- a/src/services/mod.rs
+++ b/src/services/mod.rs
@@ -1,11 +1,13 @@
-//! Services: each with its own upstreams, queue, limits and decisions, a [`Balancer`] each, behind routes by host and
-//! path prefix. A request, a change of the list and a tick cost what their service costs, not what the fleet costs.
+//! Services behind routes by host and path prefix. Each service has its own [`Balancer`] with its own upstreams, queue,
+//! limits and decisions, so the cost of a request, a list update or a tick depends on the size of its service, not on
+//! that of the fleet.
 //!
-//! Pure, as the module is: told what happens, answers with actions. A balancer without services in its configuration
-//! has one that takes every request and every upstream.
+//! Like the policy, this code does no I/O: it takes events and returns actions. A balancer whose configuration has no
+//! services has a single one, which takes every request and every upstream.
 //!
-//! A service rests while nothing of it is open and nothing has to be closed again: its timer is not armed, and the
-//! first event after that finds the tick made up for. Two hundred idle services beside a busy one cost nothing.
+//! The timer of a service is suspended while the service is idle, that is, while it has no open requests and no idle
+//! connections left to close. The next event first delivers the suspended tick. Idle services therefore cost nothing,
+//! even hundreds of them beside a busy one. A single service is never suspended.
 
 mod catalog;
 mod directory;
@@ -21,68 +23,70 @@
 use crate::policy::Balancer;
 use crate::settings::stable_hash;
 
-/// A service, by its place among all that this process has known; never another's.
+/// Identifies a service: its index among all services that the balancer has had. Indexes are not reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ServiceId(pub u32);
 
-/// Which request is whose: the catalog in force, and the handle of each of its services.
+/// Maps requests to services: the current catalog and the id of each of its services.
 #[derive(Debug)]
 pub struct Routing {
-    /// The catalog in force.
+    /// The current catalog.
     pub catalog: Rc<Catalog>,
     ids: Vec<ServiceId>,
 }
 
 impl Routing {
-    /// The service that a request to this host and path is for.
+    /// The service for a request to this host and path, or `None` if no route matches.
     pub fn find(&self, host: &str, path: &str) -> Option<(ServiceId, &Service)> {
         let index = self.catalog.route(host, path)?;
         Some((*self.ids.get(index)?, self.catalog.services.get(index)?))
     }
 }
 
-/// Why a catalog can't take the place of the one in force, which stays.
+/// Why a new catalog was refused. The current one stays in effect.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum ReloadError {
-    /// One names services and the other none.
+    /// Only one of the two catalogs names services.
     #[error("services: to have some, or none any more, takes a restart")]
     Kind,
-    /// A service that stays has other settings.
+    /// A service in both catalogs has different settings; the index is that in the new catalog.
     #[error("services[{0}].settings: other settings for a service that is served take a restart")]
     Settings(usize),
-    /// Settings that no balancer can work to.
+    /// The settings of a service are invalid.
     #[error(transparent)]
     Refused(#[from] SettingsError),
 }
 
-/// What a new catalog has changed.
+/// The result of a successful [`Services::reload`].
 #[derive(Debug)]
 pub struct Reloaded {
-    /// What is in force now.
+    /// The routing that is now in effect.
     pub routing: Rc<Routing>,
-    /// Services that are no longer served: what waits there has to be refused now, what is out may end.
+    /// Services that are no longer served. Their queued requests have to be refused now; requests already sent to an
+    /// upstream may finish.
     pub removed: Vec<ServiceId>,
-    /// How many services are new.
+    /// The number of new services.
     pub added: usize,
-    /// Their upstreams.
+    /// The upstreams of the removed services, which are gone now.
     pub changes: Vec<Change>,
 }
 
 #[derive(Debug)]
 struct Slot {
-    /// `None` once it was removed and nothing of it is open.
+    /// `None` once the service is removed and its last request is closed.
     balancer: Option<Balancer>,
     removed: bool,
-    /// Requests that the caller holds for it.
+    /// Requests between [`Services::request_opened`] and [`Services::request_closed`].
     open_requests: usize,
-    /// How long idle connections to what leaves are closed again and again.
+    /// How long the balancer goes on closing idle connections to upstreams that drain or are gone.
     close_within: Span,
+    /// The timer is not suspended before this time, so that those connections get closed.
     active_until: Time,
-    /// The timer that it rests from.
+    /// The token of a timer that was not armed because the service is idle.
     suspended_timer: Option<u64>,
 }
 
-/// All services of one balancer.
+/// All services of one balancer, including removed ones that still have open requests.
 #[derive(Debug)]
 pub struct Services {
     slots: Vec<Slot>,
@@ -90,15 +94,16 @@
     routing: Rc<Routing>,
     seed: u64,
     must_ask: bool,
-    /// Whether somebody tells of the list, where it has to be asked for.
+    /// Whether a list subscription is established. Matters only if `must_ask` is set.
     subscribed: bool,
 }
 
 impl Services {
-    /// The services of this catalog; `seed` is the balancer's own.
+    /// Creates the services of `catalog`. The seed of each is derived from `seed` and its name; a single service uses
+    /// `seed` itself.
     ///
     /// # Errors
-    /// [`SettingsError`], as [`Balancer::new`].
+    /// [`SettingsError`] from [`Balancer::new`] if the settings of a service are invalid.
     pub fn new(catalog: Rc<Catalog>, seed: u64, now: Time) -> Result<Self, SettingsError> {
         let must_ask = catalog.services.first().is_some_and(|s| s.facts.settings().must_ask);
         let directory = Directory::new(catalog.is_single());
@@ -132,40 +137,41 @@
         self.routing.catalog.is_single()
     }
 
-    /// What is in force.
+    /// The current routing.
     pub fn routing(&self) -> Rc<Routing> {
         self.routing.clone()
     }
 
-    /// The services that are served, in order.
+    /// The ids of the services that are served, in ascending order.
     pub fn ids(&self) -> Vec<ServiceId> {
         self.directory.services().collect()
     }
 
-    /// Whether it is served.
+    /// Whether this service is served: it exists and is not removed.
     pub fn serves(&self, service: ServiceId) -> bool {
         self.slots.get(service.0 as usize).is_some_and(|s| !s.removed)
     }
 
-    /// Whether any upstream of any service takes requests.
+    /// Whether any upstream of any service takes new requests.
     pub fn any_live(&self) -> bool {
         self.directory.any_live()
     }
 
-    /// Upstreams in the list, and those that get nothing now, over all services; for gauges.
+    /// The number of upstreams in the list, and how many of them get no requests now, over all services; for gauges.
     pub fn pool(&self, now: Time) -> (usize, usize) {
         let pools = self.slots.iter().filter_map(|s| Some(s.balancer.as_ref()?.pool(now)));
         pools.fold((0, 0), |(size, ejected), pool| (size + pool.0, ejected + pool.1))
     }
 
-    /// The caller holds one more request of this service, until [`Services::request_closed`].
+    /// Records that a request of this service was opened. The caller ends it by [`Services::request_closed`].
     pub fn request_opened(&mut self, service: ServiceId) {
         if let Some(slot) = self.slots.get_mut(service.0 as usize) {
             slot.open_requests += 1;
         }
     }
 
-    /// The caller is done with a request of this service, and with all of its attempts.
+    /// Records that a request of this service and all of its attempts have ended. Drops the balancer of a removed
+    /// service with its last request.
     pub fn request_closed(&mut self, service: ServiceId) {
         let Some(slot) = self.slots.get_mut(service.0 as usize) else { return };
         slot.open_requests = slot.open_requests.saturating_sub(1);
@@ -174,27 +180,27 @@
         }
     }
 
-    /// The wall clock reads `wall` at the moment `now`: told before each list.
+    /// Records that the wall clock reads `wall` at the time `now`. Call it before [`Services::apply_list`].
     pub fn observe_wall_clock(&mut self, wall: Time, now: Time) {
         self.directory.observe_wall_clock(wall, now);
     }
 
-    /// Takes in a list, and says what each service has to be told of it, by [`Services::handle`].
+    /// Applies a list to the directory. The caller passes the members of each service on by [`Services::handle`].
     pub fn apply_list(&mut self, list: &Message, kind: ListKind) -> DirectoryUpdate {
         let mut update = self.directory.apply_list(list, kind);
-        // Whoever asks for lists hears of each, or it would ask on.
+        // The subscribing service is notified of every list, or it would go on asking.
         if let Some(subscribing) = self.subscribing_service() {
             update.members_of(subscribing);
         }
         update
     }
 
-    /// The service whose timer asks for the list for all of them.
+    /// The service whose timer subscribes to the list on behalf of all services.
     fn subscribing_service(&self) -> Option<ServiceId> {
         self.directory.services().next()
     }
 
-    /// Tells the balancer of this service, and appends what is to be done, in order.
+    /// Passes an event to the balancer of this service and appends the resulting actions to `out`, in order.
     pub fn handle(
         &mut self,
         now: Time,
@@ -235,18 +241,18 @@
                     slot.suspended_timer = Some(token);
                     out.remove(i);
                 }
-                // What is told now need not be asked for by the tick that it woke.
+                // A suspended tick that a list triggered need not subscribe: the list has just arrived.
                 Action::Subscribe if !subscribes || is_list => drop(out.remove(i)),
                 _ => i += 1,
             }
         }
     }
 
-    /// Puts another catalog in force: services that it adds are served from the next list on, those that it leaves
-    /// out no longer, all others go on as they are.
+    /// Replaces the catalog. Added services are served from the next list on, services that the new catalog does not
+    /// have are removed, and all others continue unchanged.
     ///
     /// # Errors
-    /// [`ReloadError`]; nothing has changed then.
+    /// [`ReloadError`] if the catalog is refused; nothing is changed then.
     pub fn reload(&mut self, catalog: Rc<Catalog>, now: Time) -> Result<Reloaded, ReloadError> {
         if catalog.is_single() != self.is_single() {
             return Err(ReloadError::Kind);
@@ -260,7 +266,7 @@
             if index.is_some_and(|index| previous.catalog.services[index].facts != service.facts) {
                 return Err(ReloadError::Settings(i));
             }
-            // Checked before anything is changed.
+            // All settings are validated before anything is changed.
             service.facts.settings().checked()?;
         }
         let is_retained = |i: usize| retained.contains(&Some(i));
--- a/src/services/tests.rs
+++ b/src/services/tests.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// A caller that keeps the timers, and counts what it is asked to do.
+/// Drives [`Services`]: fires its timers in simulated time and records its actions.
 struct Caller {
     services: Services,
     now: Time,
@@ -132,7 +132,8 @@
     (0..n).map(|i| format!("svc-{i}")).collect()
 }
 
-/// Timers that fire while one service of this many is busy for a second, and then for a second of quiet.
+/// The number of timers that fire while one service is busy for a second beside `idle` others, and in an idle second
+/// after that.
 fn timers_fired_beside(idle: usize) -> (usize, usize) {
     let names = names(idle + 1);
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
@@ -154,8 +155,8 @@
 #[test]
 fn idle_services_fire_no_timers() {
     let (busy, quiet) = timers_fired_beside(0);
-    assert!(busy >= 50, "a busy service ticks: {busy}");
-    assert!(quiet <= 1, "and rests when it is done: {quiet}");
+    assert!(busy >= 50, "a busy service ticks: {busy} timers");
+    assert!(quiet <= 1, "it is suspended once idle: {quiet} timers");
     assert_eq!(timers_fired_beside(209), (busy, quiet));
 }
 
@@ -167,7 +168,7 @@
         let mut caller = Caller::new(&names);
         let update = caller.list(ListKind::Full, fleet(&names, 3));
         assert_eq!((update.members.len(), update.changes.len()), (services, 3 * services));
-        // Of the first service, which asks for all, there is a part in any case.
+        // The first service subscribes for all, so it is notified of every list.
         let update =
             caller.list(ListKind::Update, vec![entry("svc-1-0", "svc-1", Phase::Draining)]);
         let affected: Vec<_> =
@@ -182,7 +183,7 @@
     caller.list(ListKind::Restored, Vec::new());
     caller.advance(Span(2000 * MS));
     let asked = caller.count(|a| matches!(a, Action::Subscribe));
-    assert!(asked >= 1, "it is asked for");
+    assert!(asked >= 1, "no subscription before the first list");
     let by_others = caller.actions.iter().filter(|(s, a)| s.0 > 0 && *a == Action::Subscribe);
     assert_eq!(by_others.count(), 0);
     caller.list(ListKind::Full, fleet(&["a", "b"], 1));
@@ -190,9 +191,9 @@
     let asked = caller.count(|a| matches!(a, Action::Subscribe));
     caller.fired = 0;
     caller.advance(Span(60_000 * MS));
-    assert_eq!(caller.count(|a| matches!(a, Action::Subscribe)), asked, "it was told");
-    assert_eq!(caller.fired, 0, "all rest");
-    // What is lost is asked for again, though all rest.
+    assert_eq!(caller.count(|a| matches!(a, Action::Subscribe)), asked, "subscribed after a list");
+    assert_eq!(caller.fired, 0, "an idle service was not suspended");
+    // When the list becomes unavailable, a suspended service subscribes again.
     for service in caller.services.ids() {
         caller.handle(service, Event::Members { kind: ListKind::Unavailable, list: &[] });
     }
@@ -209,10 +210,10 @@
     let update = caller.list(ListKind::Update, vec![entry("s", "b", Phase::Serving)]);
     assert_eq!(update.changes.len(), 2);
     assert_eq!((update.changes[0].server, update.changes[0].status), (first, Status::Gone));
-    assert_eq!(caller.request(a, 2), None, "gone there");
+    assert_eq!(caller.request(a, 2), None, "gone from its previous service");
     let second = caller.request(b, 3).expect("sent");
     assert_ne!(first, second);
-    // To none of ours, and deleted without a word of whose it was.
+    // It moves to a service that is not served here, then back, and is deleted by an entry that names no service.
     caller.list(ListKind::Update, vec![entry("s", "elsewhere", Phase::Serving)]);
     assert!(!caller.services.any_live());
     caller.list(ListKind::Update, vec![entry("s", "b", Phase::Serving)]);
@@ -247,11 +248,11 @@
     caller.advance(Span(100 * MS));
     assert!(
         closes(&caller) > before + 1,
-        "on the outcome, and once a sweep for as long as the rule"
+        "closed on the outcome and on every tick within DrainClose"
     );
     caller.fired = 0;
     caller.advance(Span(10_000 * MS));
-    assert!(caller.fired <= 1, "then it rests: {}", caller.fired);
+    assert!(caller.fired <= 1, "suspended after that: {} timers", caller.fired);
 }
 
 #[test]
@@ -267,14 +268,17 @@
     assert_eq!(found("/a"), Some((ServiceId(0), "a".into())));
     assert_eq!(found("/c"), Some((ServiceId(2), "c".into())));
     assert_eq!(found("/b"), None);
-    // What is out there ends in its time.
+    // The open request of the removed service still completes.
     caller.handle(ServiceId(1), Event::Members { kind: ListKind::Full, list: &[] });
     caller.complete(ServiceId(1), 1, server);
-    assert!(caller.services.slots[1].balancer.is_none(), "and then nothing is kept of it");
+    assert!(
+        caller.services.slots[1].balancer.is_none(),
+        "its balancer is dropped with the last request"
+    );
     caller.list(ListKind::Full, fleet(&["a", "c"], 1));
     assert!(caller.request(ServiceId(2), 2).is_some());
     assert!(caller.request(ServiceId(0), 3).is_some());
-    // Of the same name again it is another service.
+    // A service that is added again under the same name gets a new id.
     let again = caller.services.reload(catalog(&["a", "b"]), caller.now).expect("it can");
     assert_eq!(again.routing.find("", "/b").map(|(id, _)| id), Some(ServiceId(3)));
     let single = Rc::new(Catalog::single(&facts("subscribe")).expect("sound"));
@@ -287,7 +291,7 @@
     let other = Catalog::new(&facts("subscribe"), &entries, &[]).expect("sound");
     let refused = caller.services.reload(Rc::new(other), caller.now);
     assert_eq!(refused.expect_err("it can't"), ReloadError::Settings(0));
-    assert!(caller.services.serves(ServiceId(0)), "what was in force still is");
+    assert!(caller.services.serves(ServiceId(0)), "the previous catalog stays in effect");
 }
 
 #[test]
@@ -297,7 +301,7 @@
     caller.services = Services::new(catalog, 7, caller.now).expect("sound");
     caller.list(ListKind::Full, vec![entry("s", "any", Phase::Serving)]);
     caller.advance(Span(1000 * MS));
-    assert!(caller.fired >= 100, "its timer as ever: {}", caller.fired);
+    assert!(caller.fired >= 100, "its timer is never suspended: {}", caller.fired);
     assert!(caller.request(ServiceId(0), 1).is_some());
     assert!(caller.services.routing().find("any.example", "/any").is_some());
 }
@@ -324,7 +328,8 @@
     caller.list(ListKind::Restored, fleet(&["a", "b"], 1));
     caller.advance(Span(100 * MS));
     caller.services.reload(catalog(&["b"]), caller.now).expect("it can");
-    // It rests, has never been told a list, and asks for all from now on.
+    // Service b is suspended, has received only the restored list, and subscribes for all from now on. Its suspended
+    // tick, delivered with the list, must not subscribe again.
     caller.now = caller.now.plus(Span(10_000 * MS));
     caller.list(ListKind::Full, fleet(&["b"], 1));
     let by_b = caller.actions.iter().filter(|(s, a)| s.0 == 1 && *a == Action::Subscribe);
@@ -332,8 +337,8 @@
 }
 
 proptest! {
-    /// As a walk over the tenants in their order finds it: of two of one name the first, a request without a name is
-    /// that of a tenant without one, an unknown name is nobody's, and where there are no tenants every name is the first.
+    /// The lookup agrees with a linear search: of two tenants with the same name the first is found, an empty name finds
+    /// the tenant with an empty name, and an unknown name none. Without tenants every name has index 0.
     #[test]
     fn tenant_lookup_finds_the_first_of_a_name(
         names in prop::collection::vec("[ab]{0,2}", 0..12),
--- a/src/services/wall_clock.rs
+++ b/src/services/wall_clock.rs
@@ -1,18 +1,20 @@
-//! When an upstream started, on the module's clock. Lists state it on the wall clock, which may be stepped; the module's
-//! is set to the wall clock once and does not step.
+//! Converts the start times of upstreams to the clock of the policy. Lists state them on the wall clock, which may be
+//! stepped; the policy's clock is set from the wall clock once and is monotonic from then on.
 
 use crate::interface::{Span, Time};
 
-/// A difference from here on is a step; less is the clock's own adjustment.
+/// Offsets that differ by at least this are a step (1 s, in microseconds); less is ordinary clock adjustment.
 const MIN_STEP: Span = Span(1_000_000);
-/// Steps that are remembered, the newest ones.
+/// Maximum number of offsets stored. Beyond it, the oldest step is dropped; the initial offset of 0 stays.
 const MAX_OFFSETS: usize = 16;
 
-/// The wall clock as it was read, beside the module's.
+/// The offsets that the wall clock has had from the policy's clock.
 #[derive(Debug)]
 pub struct WallClock {
+    /// The policy's clock at the latest [`WallClock::record`].
     last_read: Time,
-    /// By how much the wall clock was ahead of the module's, once for each step.
+    /// The distinct offsets of the wall clock from the policy's clock, starting with 0; one more after each step to a
+    /// new offset.
     offsets: Vec<Span>,
 }
 
@@ -23,7 +25,7 @@
 }
 
 impl WallClock {
-    /// The wall clock reads `wall` at the moment `now` of the module's.
+    /// Records that the wall clock reads `wall` when the policy's clock reads `now`.
     pub fn record(&mut self, wall: Time, now: Time) {
         self.last_read = now;
         let offset = wall.since(now);
@@ -31,15 +33,16 @@
         if self.offsets.iter().any(is_known) {
             return;
         }
-        tracing::warn!(ahead_s = offset.0 / 1_000_000, "the wall clock has stepped");
+        tracing::warn!(ahead_s = offset.0 / 1_000_000, "wall clock step detected");
         if self.offsets.len() == MAX_OFFSETS {
             self.offsets.remove(1);
         }
         self.offsets.push(offset);
     }
 
-    /// When an upstream started that says so by the wall clock. Where that was read before or after a step is not
-    /// known: of the moments that are not ahead, the latest, for a cold upstream must not pass for a warm one.
+    /// Converts a start time from the wall clock to the policy's clock. Whether the upstream read its clock before or
+    /// after a step is not known. The result is the latest candidate that is not in the future, because a cold upstream
+    /// must not be taken for a warm one.
     pub fn start_time(&self, by_wall_clock: Time) -> Time {
         if self.offsets.len() == 1 {
             return by_wall_clock;
--- a/src/services/wall_clock/tests.rs
+++ b/src/services/wall_clock/tests.rs
@@ -15,13 +15,16 @@
 fn a_clock_step_does_not_make_an_upstream_look_older() {
     for step in [HOUR, -HOUR] {
         let clock = clock_with_step(step);
-        // It started 5 s ago, and read the clock before the step or after it.
+        // The upstream started 5 s ago and read the wall clock either before or after the step.
         for by_wall_clock in [NOW.0 - 5 * SECOND, NOW.0 - 5 * SECOND + step] {
             let age = NOW.since(clock.start_time(Time(by_wall_clock)));
             assert!(age.0 <= 5 * SECOND, "step of {step}: {age:?} old");
         }
         let future = clock.start_time(Time(NOW.0 + 2 * HOUR));
-        assert!(future <= NOW, "it stays cold no longer than one that starts now");
+        assert!(
+            future <= NOW,
+            "no later than now, so cold no longer than an upstream that starts now"
+        );
     }
 }
 
@@ -33,6 +36,6 @@
     assert_eq!(
         clock.start_time(Time(NOW.0 - HOUR)),
         Time(NOW.0 - HOUR),
-        "adjusted by half a second"
+        "half a second is adjustment, not a step"
     );
 }
