--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -1,35 +1,35 @@
-//! Configuration files of the parts that are not the proxy: TOML, read through serde, with every unknown or
-//! malformed key refused by its path.
+//! TOML configuration files of the roles other than the proxy. An unknown or malformed key is an error that names its
+//! path.
 //!
-//! The proxy keeps the JSON file that `LB_CONFIG` names (PROTOCOL and DEPLOY bind it); the list service,
-//! the release controller and later parts take a TOML file each, loaded by [`load`].
+//! The proxy reads the JSON file that `LB_CONFIG` names instead, as PROTOCOL and DEPLOY require. The list service, the
+//! release controller and other roles have one TOML file each, loaded by [`load`].
 
 use std::path::{Path, PathBuf};
 
 use serde::de::DeserializeOwned;
 
-/// Why a configuration file was not taken. Every variant names the file; a malformed one names the key.
+/// Why a configuration file was refused. Every variant names the file, and all but [`ConfigError::Unreadable`] the key.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The file could not be read at all.
+    /// The file could not be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
         /// The file as named on the command line.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The file was read but one key is unknown, missing or of the wrong kind.
+    /// The file is not TOML, or one key is unknown, missing or of the wrong type.
     #[error("{}: key `{key}`: {cause}", path.display())]
     Malformed {
         /// The file as named on the command line.
         path: PathBuf,
-        /// Dotted path of the key at fault, `.` for the top of the file.
+        /// Dotted path of the key at fault, `.` for the top level of the file.
         key: String,
-        /// What is wrong with it, as the parser words it.
+        /// What is wrong with it, in the words of the parser.
         cause: String,
     },
-    /// Every key is well formed, but together they say something that can't be done.
+    /// Every key is well formed, but the value of one is not valid, possibly in combination with others.
     #[error("{}: key `{key}`: {cause}", path.display())]
     Invalid {
         /// The file as named on the command line.
@@ -42,25 +42,25 @@
 }
 
 impl ConfigError {
-    /// A value that parsed but can't be used, by the key that holds it.
+    /// A [`ConfigError::Invalid`] for the value of `key`.
     pub fn invalid(path: &Path, key: impl Into<String>, cause: impl Into<String>) -> Self {
         Self::Invalid { path: path.to_owned(), key: key.into(), cause: cause.into() }
     }
 }
 
-/// Reads a TOML file into `T`. A key that `T` does not have is refused rather than left aside, wherever in the
-/// file it stands, so `T` needs no `deny_unknown_fields`.
+/// Reads a TOML file into `T`. A key that `T` does not have is an error rather than ignored, at any depth, so `T` needs
+/// no `deny_unknown_fields`.
 ///
 /// # Errors
-/// [`ConfigError::Unreadable`] when the file can't be read, [`ConfigError::Malformed`] with the key's path
-/// when it is no TOML or does not fit `T`.
+/// [`ConfigError::Unreadable`] if the file can't be read, [`ConfigError::Malformed`] with the path of the key if it is
+/// not TOML or does not match `T`.
 pub fn load<T: DeserializeOwned>(path: &Path) -> Result<T, ConfigError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| ConfigError::Unreadable { path: path.to_owned(), source })?;
     parse(path, &text)
 }
 
-/// [`load`] on text already read; `path` only names it in errors.
+/// As [`load`], on text that is already read; `path` is used in errors only.
 ///
 /// # Errors
 /// [`ConfigError::Malformed`] as for [`load`].
--- a/src/routing/error.rs
+++ b/src/routing/error.rs
@@ -1,6 +1,6 @@
 use super::path::MAX_PREFIX_BYTES;
 
-/// Why routes were refused, by the key of the first that is at fault; indexes count from 0, as in `routes[3].host`.
+/// Why routes were refused, with the key of the first invalid one. Indexes start at 0, as in `routes[3].host`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}: {}", self.key(), self.cause())]
 pub enum RouteError {
@@ -11,21 +11,21 @@
         /// What is wrong with it.
         fault: HostFault,
     },
-    /// The prefix is not one of a path.
+    /// The prefix is not a valid path prefix.
     Prefix {
         /// Index of the route.
         route: usize,
         /// What is wrong with it.
         fault: PrefixFault,
     },
-    /// There is no service of that name.
+    /// There is no service with that name.
     Service {
         /// Index of the route.
         route: usize,
-        /// The name as stated.
+        /// The name as written in the configuration.
         service: String,
     },
-    /// An earlier route has the same host and the same prefix, whatever its service.
+    /// An earlier route has the same host and prefix, even if for another service.
     Duplicate {
         /// Index of the later route.
         route: usize,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Why its value was refused.
+    /// Why the value of the key was refused.
     pub fn cause(&self) -> String {
         match self {
             Self::Host { fault, .. } => fault.to_string(),
@@ -59,22 +59,22 @@
 /// What is wrong with a route's host.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HostFault {
-    /// Two dots in a row, a leading dot, or a dot alone.
+    /// Two consecutive dots, a leading dot, or a single dot as the whole name.
     #[error("a label of the name is empty")]
     EmptyLabel,
-    /// `*` is not the whole first label, or nothing follows it.
+    /// `*` is not the whole first label, or no name follows it.
     #[error("a wildcard is the whole first label, with a name behind it, as in \"*.example.com\"")]
     Wildcard,
-    /// Not a letter, digit or hyphen of ASCII (RFC 1123, section 2.1). A port is no part of a route's host.
+    /// Not an ASCII letter, digit or hyphen (RFC 1123, section 2.1). A route's host has no port.
     #[error("{0:?} is no character of a host name")]
     Character(char),
-    /// A label longer than DNS allows, in bytes.
+    /// A label longer than DNS allows; its length in bytes.
     #[error("a label has {0} bytes, 63 at most")]
     LongLabel(usize),
-    /// A name longer than DNS allows, in bytes; a wildcard's without its `*.`.
+    /// A name longer than DNS allows; its length in bytes, for a wildcard without `*.`.
     #[error("the name has {0} bytes, 253 at most")]
     LongName(usize),
-    /// Brackets around something else than an IPv6 address (RFC 3986, section 3.2.2).
+    /// An opening bracket without a valid IPv6 literal (RFC 3986, section 3.2.2).
     #[error("not an IPv6 address in brackets")]
     Literal,
 }
@@ -85,10 +85,10 @@
     /// It does not begin with `/`.
     #[error("does not begin with \"/\"")]
     NoSlash,
-    /// A query, a fragment, a space or a control character, none of which a path has.
+    /// `?`, `#`, a space or a control character, which a path can't contain.
     #[error("{0:?} is no character of a path")]
     Character(char),
-    /// Longer than is taken, in bytes.
+    /// Longer than the maximum; its length in bytes.
     #[error("has {0} bytes, {MAX_PREFIX_BYTES} at most")]
     Long(usize),
 }
--- a/src/routing/host.rs
+++ b/src/routing/host.rs
@@ -1,4 +1,4 @@
-//! Host names: of routes, checked, and of requests, taken from their authority.
+//! Host names: validates those of routes and extracts those of requests from the authority.
 
 use std::borrow::Cow;
 use std::net::Ipv6Addr;
@@ -9,12 +9,12 @@
 const MAX_NAME_BYTES: usize = 253;
 const MAX_LABEL_BYTES: usize = 63;
 
-/// The host of a route, in lower case and without trailing dot.
+/// The host of a route, in lower case and without a trailing dot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Pattern {
     Any,
     Exact(String),
-    /// All names that end in a dot and this one.
+    /// Matches all names that end in a dot followed by this name.
     Wildcard(String),
 }
 
@@ -57,11 +57,11 @@
     Ok(name.to_ascii_lowercase())
 }
 
-/// The host of a request's authority: without port and trailing dot, in lower case. What is no authority comes back
-/// with what is wrong in it, so that it equals no route's name.
+/// The host of a request's authority: without port and trailing dot, in lower case. An invalid authority keeps its
+/// invalid characters, so that it equals no route's host.
 pub(super) fn from_authority(authority: &str) -> Cow<'_, str> {
     let host = match authority.rsplit_once(':') {
-        // The colons of a literal stand between its brackets.
+        // The colons within the brackets of an IPv6 literal do not separate a port.
         Some((host, port))
             if port.bytes().all(|b| b.is_ascii_digit()) && !is_unclosed_literal(host) =>
         {
@@ -77,17 +77,17 @@
     }
 }
 
-/// Whether this is a literal cut off before its closing bracket.
+/// Whether this is an IPv6 literal without its closing bracket.
 fn is_unclosed_literal(host: &str) -> bool {
     host.starts_with('[') && !host.ends_with(']')
 }
 
-/// What follows each dot of `host` and has at most `longest` bytes, the longest first. What is no host name, by an
-/// empty label or a character that delimits the parts of a URI (RFC 3986, section 2.2), has none.
+/// The parts of `host` after each dot that have at most `max_len` bytes, the longest first. An invalid host name, with
+/// an empty label or a character that delimits the parts of a URI (RFC 3986, section 2.2), has none.
 pub(super) fn suffixes(host: &str, max_len: usize) -> impl Iterator<Item = &str> {
     let empty_label = host.starts_with('.') || host.contains("..");
     let is_name = !empty_label && !host.contains([':', '/', '?', '#', '[', ']', '@']);
-    // The dot before a suffix that is not too long stands here or later.
+    // The dot before a suffix of at most `max_len` bytes is here or later.
     let start = if is_name { host.len().saturating_sub(max_len + 1) } else { host.len() };
     let dots = host.bytes().enumerate().skip(start).filter(|(_, b)| *b == b'.');
     dots.map(|(dot, _)| &host[dot + 1..])
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,26 +1,27 @@
-//! Which service a request is for: routes by host and path prefix.
+//! Routes requests to services by host and path prefix.
 //!
 //! **Host.** A route's `host` is empty (any host), a name, an IPv6 literal in brackets, or a wildcard
-//! `*.example.com`, which stands for one or more labels before the name behind it (RFC 4592 has the same for DNS). An
-//! exact host is more specific than a wildcard, a wildcard with a longer name more than one with a shorter, any host
-//! the least. Names are compared without regard to case (RFC 9110, section 4.2.3) and without a trailing dot, and the
-//! port of the request's authority is not looked at. A literal is compared as written but for case: `[::1]` is not
-//! `[0::1]`. A request whose host is neither name nor literal (an empty label, a port that is no number) matches
-//! routes for any host only.
+//! `*.example.com`, which matches one or more labels before the name that follows it (as in DNS, RFC 4592). An exact
+//! host is more specific than a wildcard, a wildcard with a longer name is more specific than one with a shorter name,
+//! and any host is the least specific. Names are compared case-insensitively (RFC 9110, section 4.2.3) and without a
+//! trailing dot, and the port of the request's authority is ignored. A literal is compared as written except for case:
+//! `[::1]` is not `[0::1]`. A request whose host is neither a name nor a literal (an empty label, a port that is not a
+//! number) matches only routes for any host.
 //!
 //! **Path.** A route's `prefix` matches whole segments only: `/api` matches `/api`, `/api/` and `/api/x`, not `/apis`.
-//! Slashes at its end change nothing, so that `/api/` is `/api`, and both `/` and the empty prefix match all paths, also
-//! the `*` of `OPTIONS *`. The query is no part of the path. A path is compared as written: case counts, `%61` is not
-//! `a`, empty segments count, and `.` and `..` are segments like others (who wants them resolved does so before).
+//! Trailing slashes are ignored, so `/api/` equals `/api`, and both `/` and the empty prefix match all paths, including
+//! the `*` of `OPTIONS *`. The query is not part of the path. A path is compared as written: it is case-sensitive, `%61`
+//! is not `a`, empty segments are significant, and `.` and `..` are ordinary segments (a caller that wants them resolved
+//! has to do so first).
 //!
-//! **Order.** The host is decided first, then the longest prefix within the routes of that host. Where none of these
-//! matches, the next less specific host is tried.
+//! **Order.** The most specific host is matched first, then the longest prefix within the routes of that host. If none
+//! of these matches, the next less specific host is tried.
 //!
-//! **Cost.** A look-up is one of a hash table: one for the exact host, one for each label of the host, and one for each
-//! segment of the path and host that has routes, none of which grows with the count of routes; labels and segments
-//! that are longer or more than those of any route are not looked up.
+//! **Cost.** Finding a route takes one hash table look-up for the exact host, one for each label of the host, and, for
+//! each of these hosts that has routes, one for each segment of the path. The number of look-ups does not grow with the
+//! number of routes. Labels and segments beyond the longest route are not looked up.
 //!
-//! Two routes with the same host and prefix are refused, as is whatever cannot match: see [`RouteError`].
+//! Two routes with the same host and prefix are refused, as are routes that can't match: see [`RouteError`].
 
 mod error;
 mod host;
@@ -36,36 +37,36 @@
 use host::Pattern;
 use path::Prefixes;
 
-/// One route as configuration states it. The [module](self) says what matches.
+/// One route as written in the configuration. The [module](self) documentation has the matching rules.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// A name, `*.` and a name, an IPv6 literal in brackets, or empty for any host.
+    /// A name, `*.` followed by a name, an IPv6 literal in brackets, or empty for any host.
     #[serde(default)]
     pub host: String,
-    /// Leading segments of the path, beginning with `/`; empty for all paths.
+    /// Leading segments of the path, starting with `/`; empty for all paths.
     #[serde(default)]
     pub prefix: String,
-    /// The name of the service that requests go to.
+    /// The name of the service that matching requests go to.
     pub service: String,
 }
 
-/// All routes, in the form that requests are looked up in. It does not change once built.
+/// All routes, indexed for look-up. Immutable once built.
 #[derive(Debug)]
 pub struct RouteTable {
     exact: FxHashMap<Box<str>, Prefixes>,
-    /// By the name behind `*.`.
+    /// By the name after `*.`.
     wildcards: FxHashMap<Box<str>, Prefixes>,
     any_host: Prefixes,
-    /// Most bytes of a key of `wildcards`.
+    /// Length in bytes of the longest key of `wildcards`.
     max_wildcard_bytes: usize,
-    /// The service of each route.
+    /// The service index of each route.
     targets: Box<[usize]>,
 }
 
 impl RouteTable {
-    /// Checks `routes` and builds their table. `services` are the names that exist; what [`RouteTable::find`] gives
-    /// counts within them (of equal names, the first).
+    /// Validates `routes` and builds their table. `services` are the names of the services; [`RouteTable::find`] returns
+    /// an index into it (the first of equal names).
     pub fn new(routes: &[Route], services: &[impl AsRef<str>]) -> Result<Self, RouteError> {
         let mut service_indexes = HashMap::with_capacity(services.len());
         for (i, service) in services.iter().enumerate() {
@@ -116,13 +117,13 @@
         }
     }
 
-    /// The index of the service of the most specific route, or none. `host` is the request's authority, with or
-    /// without port, empty if it has none; `path` may have its query.
+    /// The service index of the most specific matching route, or `None`. `host` is the request's authority, with or
+    /// without port, empty if the request has none; `path` may include the query.
     pub fn find(&self, host: &str, path: &str) -> Option<usize> {
         self.find_counted(host, path).0
     }
 
-    /// As [`RouteTable::find`], with the count of look-ups that it took.
+    /// As [`RouteTable::find`], with the number of hash table look-ups that it took.
     #[doc(hidden)]
     pub fn find_counted(&self, host: &str, path: &str) -> (Option<usize>, usize) {
         let path = path.split_once('?').map_or(path, |(path, _)| path);
@@ -152,12 +153,12 @@
         self.any_host.find(path, lookups)
     }
 
-    /// The count of routes.
+    /// The number of routes.
     pub fn len(&self) -> usize {
         self.targets.len()
     }
 
-    /// Whether there are no routes: then none is found.
+    /// Whether there are no routes, so that [`RouteTable::find`] always returns `None`.
     pub fn is_empty(&self) -> bool {
         self.targets.is_empty()
     }
--- a/src/routing/path.rs
+++ b/src/routing/path.rs
@@ -1,13 +1,13 @@
-//! Prefixes of paths, by whole segments.
+//! Path prefixes, matched by whole segments.
 
 use rustc_hash::FxHashMap;
 
 use super::error::PrefixFault;
 
-/// Longest prefix that is taken, in bytes.
+/// Maximum length of a route's prefix, in bytes.
 pub(super) const MAX_PREFIX_BYTES: usize = 4096;
 
-/// A route's prefix without trailing slashes: empty for all paths.
+/// Validates a route's prefix and strips its trailing slashes. The empty prefix matches all paths.
 pub(super) fn parse(stated: &str) -> Result<&str, PrefixFault> {
     if stated.len() > MAX_PREFIX_BYTES {
         return Err(PrefixFault::Long(stated.len()));
@@ -22,19 +22,20 @@
     }
 }
 
-/// The prefixes of one host and what each leads to.
+/// The prefixes of the routes of one host, each with its target.
 #[derive(Debug, Default)]
 pub(super) struct Prefixes {
-    /// What all paths lead to that have no longer prefix.
+    /// Target of the empty prefix, for paths that match no other.
     catch_all: Option<usize>,
     targets: FxHashMap<Box<str>, usize>,
-    /// Most segments, and most bytes, of any prefix: what is beyond them in a path is not looked at.
+    /// Largest number of segments of any prefix. Segments of a path beyond it are not looked up.
     max_segments: usize,
+    /// Largest length of any prefix in bytes, with the same effect.
     max_bytes: usize,
 }
 
 impl Prefixes {
-    /// Takes a prefix as [`parse`] gives it, unless it is there: then gives what it leads to.
+    /// Adds a prefix as returned by [`parse`]. If it already exists, returns its target as the error.
     pub(super) fn insert(&mut self, prefix: &str, target: usize) -> Result<(), usize> {
         if prefix.is_empty() {
             return match self.catch_all {
@@ -58,7 +59,7 @@
         self.targets.shrink_to_fit();
     }
 
-    /// What the longest prefix of `path` leads to; adds the look-ups that this took to `lookups`.
+    /// The target of the longest prefix that matches `path`. Adds the number of hash table look-ups to `lookups`.
     pub(super) fn find(&self, path: &str, lookups: &mut usize) -> Option<usize> {
         let mut rest = self.truncate(path);
         while !rest.is_empty() {
@@ -66,14 +67,13 @@
             if let Some(target) = self.targets.get(rest) {
                 return Some(*target);
             }
-            // A path that begins with no slash ends here too.
+            // A path that does not begin with a slash ends the loop here too.
             rest = rest.rfind('/').map_or("", |slash| &rest[..slash]);
         }
         self.catch_all
     }
 
-    /// The leading whole segments of `path` that are not more, nor longer, than those of the deepest and longest
-    /// prefix.
+    /// Cuts `path` after the last whole segment within `max_segments` and `max_bytes`: no prefix can match more of it.
     fn truncate<'a>(&self, path: &'a str) -> &'a str {
         let mut end = 0;
         for _ in 0..self.max_segments {
--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -11,7 +11,7 @@
     RouteTable::new(&routes, &SERVICES)
 }
 
-/// A table of one route for each host; what is found tells which.
+/// A table with one route per host, each to its own service, so that the result identifies the route.
 fn hosts(hosts: &[&str]) -> RouteTable {
     let routes: Vec<_> = hosts.iter().zip(SERVICES).map(|(h, s)| route(h, "", s)).collect();
     RouteTable::new(&routes, &SERVICES).unwrap()
@@ -27,7 +27,7 @@
     let t = hosts(&["", "*.example.com", "a.example.com"]);
     assert_eq!(t.find("a.example.com", "/"), Some(2));
     assert_eq!(t.find("b.example.com", "/"), Some(1));
-    assert_eq!(t.find("example.com", "/"), Some(0), "a wildcard stands for a label at least");
+    assert_eq!(t.find("example.com", "/"), Some(0), "a wildcard matches at least one label");
     assert_eq!(t.find("badexample.com", "/"), Some(0));
     assert_eq!(t.find("", "/"), Some(0));
 }
@@ -93,7 +93,11 @@
     ] {
         assert_eq!(t.find(host, "/"), Some(0), "{host}");
     }
-    assert_eq!(t.find("é.example.com", "/"), Some(1), "a name that DNS would not have is one here");
+    assert_eq!(
+        t.find("é.example.com", "/"),
+        Some(1),
+        "a name that is invalid in DNS still matches"
+    );
 }
 
 #[test]
@@ -144,7 +148,7 @@
     assert_eq!(t.find("a.b", "/y"), None);
 }
 
-/// Why this is refused as the second of two routes.
+/// The error for this route as the second of two.
 fn refused(host: &str, prefix: &str, service: &str) -> String {
     let error = table(&[("ok", "/ok", "zero"), (host, prefix, service)]).unwrap_err();
     let message = error.to_string();
@@ -295,12 +299,12 @@
     ])
     .unwrap();
     let (labels, segments) = ("a.".repeat(10_000), "/x".repeat(10_000));
-    // The exact host, the wildcard's name, and "/x" within it.
+    // Look-ups: the exact host, the wildcard's name, and "/x" for it.
     let host = format!("{labels}example.com");
     assert_eq!(t.find_counted(&host, &segments), (Some(1), 3));
-    // The exact host, "/x/x" and "/x" within it, then as above.
+    // Look-ups: the exact host, "/x/x" and "/x" for it, the wildcard's name, and "/x" for that.
     assert_eq!(t.find_counted("a.example.com", &segments), (Some(1), 5));
-    // The exact host, nothing else.
+    // The only look-up is the exact host.
     let (host, path) = ("a".repeat(60_000), format!("/{}", "y".repeat(60_000)));
     assert_eq!(t.find_counted(&host, &path), (None, 1));
 }
