--- a/src/hollow/balancer.rs
+++ b/src/hollow/balancer.rs
@@ -11,7 +11,7 @@
 
 use crate::discovery::member::{Member as Entry, Message, Phase};
 use crate::interface::{Action, Event, ListKind, SettingsError, Time};
-use crate::services::{Catalog, Notified, ServiceId, Services};
+use crate::services::{Catalog, DirectoryUpdate, ServiceId, Services};
 
 /// Hash of one entry; a [`digest`] is the sum of these.
 fn entry_hash(entry: &Entry) -> u64 {
@@ -107,7 +107,7 @@
     /// services notified.
     pub fn notify_services(&mut self, now: Time, list: &Message, kind: ListKind) -> usize {
         // The status changes of upstreams are not needed: there are no connections to them.
-        let Notified { members, .. } = self.services.told(list, kind);
+        let DirectoryUpdate { members, .. } = self.services.apply_list(list, kind);
         for (service, members) in &members {
             self.handle(now, *service, Event::Members { kind, list: members });
         }
--- a/src/hollow/driver.rs
+++ b/src/hollow/driver.rs
@@ -236,7 +236,7 @@
             Err(cause) => return tracing::error!(%cause, id, "invalid services; not started"),
         };
         let mut known = cache.as_ref().map(|c| c.list().clone()).unwrap_or_default();
-        let narrowed = catalog.narrow(&mut known);
+        let narrowed = catalog.filter_list(&mut known);
         if let (true, Some(cache)) = (narrowed.changed, &cache) {
             cache.keep(known.clone());
         }
--- a/src/services/mod.rs
+++ b/src/services/mod.rs
@@ -1,11 +1,13 @@
-//! Services: each with its own upstreams, queue, limits and decisions, a [`Balancer`] each, behind routes by host and
-//! path prefix. A request, a change of the list and a tick cost what their service costs, not what the fleet costs.
+//! Services behind routes by host and path prefix. Each service has its own [`Balancer`] with its own upstreams, queue,
+//! limits and decisions, so the cost of a request, a list update or a tick depends on the size of its service, not on
+//! that of the fleet.
 //!
-//! Pure, as the module is: told what happens, answers with actions. A balancer without services in its configuration
-//! has one that takes every request and every upstream.
+//! Like the policy, this code does no I/O: it takes events and returns actions. A balancer whose configuration has no
+//! services has a single one, which takes every request and every upstream.
 //!
-//! A service rests while nothing of it is open and nothing has to be closed again: its timer is not armed, and the
-//! first event after that finds the tick made up for. Two hundred idle services beside a busy one cost nothing.
+//! The timer of a service is suspended while the service is idle, that is, while it has no open requests and no idle
+//! connections left to close. The next event first delivers the suspended tick. Idle services therefore cost nothing,
+//! even hundreds of them beside a busy one. A single service is never suspended.
 
 mod catalog;
 mod directory;
@@ -13,76 +15,78 @@
 
 use std::rc::Rc;
 
-pub use catalog::{Catalog, CatalogError, Narrowed, Overrides, Service, ServiceEntry};
-pub use directory::{Change, Directory, Notified};
+pub use catalog::{Catalog, CatalogError, FilteredList, Overrides, Service, ServiceEntry};
+pub use directory::{Change, Directory, DirectoryUpdate};
 
 use crate::discovery::member::Message;
 use crate::interface::{Action, Event, ListKind, SettingsError, Span, Status, Time};
 use crate::policy::Balancer;
 use crate::settings::stable_hash;
 
-/// A service, by its place among all that this process has known; never another's.
+/// Identifies a service: its index among all services that the balancer has had. Indexes are not reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ServiceId(pub u32);
 
-/// Which request is whose: the catalog in force, and the handle of each of its services.
+/// Maps requests to services: the current catalog and the id of each of its services.
 #[derive(Debug)]
 pub struct Routing {
-    /// The catalog in force.
+    /// The current catalog.
     pub catalog: Rc<Catalog>,
     ids: Vec<ServiceId>,
 }
 
 impl Routing {
-    /// The service that a request to this host and path is for.
+    /// The service for a request to this host and path, or `None` if no route matches.
     pub fn find(&self, host: &str, path: &str) -> Option<(ServiceId, &Service)> {
-        let at = self.catalog.route(host, path)?;
-        Some((*self.ids.get(at)?, self.catalog.services.get(at)?))
+        let index = self.catalog.route(host, path)?;
+        Some((*self.ids.get(index)?, self.catalog.services.get(index)?))
     }
 }
 
-/// Why a catalog can't take the place of the one in force, which stays.
+/// Why a new catalog was refused. The current one stays in effect.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum ReloadError {
-    /// One names services and the other none.
+    /// Only one of the two catalogs names services.
     #[error("services: to have some, or none any more, takes a restart")]
     Kind,
-    /// A service that stays has other settings.
+    /// A service in both catalogs has different settings; the index is that in the new catalog.
     #[error("services[{0}].settings: other settings for a service that is served take a restart")]
     Settings(usize),
-    /// Settings that no balancer can work to.
+    /// The settings of a service are invalid.
     #[error(transparent)]
     Refused(#[from] SettingsError),
 }
 
-/// What a new catalog has changed.
+/// The result of a successful [`Services::reload`].
 #[derive(Debug)]
 pub struct Reloaded {
-    /// What is in force now.
+    /// The routing that is now in effect.
     pub routing: Rc<Routing>,
-    /// Services that are no longer served: what waits there has to be refused now, what is out may end.
+    /// Services that are no longer served. Their queued requests have to be refused now; requests already sent to an
+    /// upstream may finish.
     pub removed: Vec<ServiceId>,
-    /// How many services are new.
+    /// The number of new services.
     pub added: usize,
-    /// Their upstreams.
+    /// The upstreams of the removed services, which are gone now.
     pub changes: Vec<Change>,
 }
 
 #[derive(Debug)]
 struct Slot {
-    /// `None` once it was removed and nothing of it is open.
+    /// `None` once the service is removed and its last request is closed.
     balancer: Option<Balancer>,
     removed: bool,
-    /// Requests that the caller holds for it.
-    open: usize,
-    /// How long idle connections to what leaves are closed again and again.
+    /// Requests between [`Services::request_opened`] and [`Services::request_closed`].
+    open_requests: usize,
+    /// How long the balancer goes on closing idle connections to upstreams that drain or are gone.
     close_within: Span,
-    awake_until: Time,
-    /// The timer that it rests from.
-    resting: Option<u64>,
+    /// The timer is not suspended before this time, so that those connections get closed.
+    active_until: Time,
+    /// The token of a timer that was not armed because the service is idle.
+    suspended_timer: Option<u64>,
 }
 
-/// All services of one balancer.
+/// All services of one balancer, including removed ones that still have open requests.
 #[derive(Debug)]
 pub struct Services {
     slots: Vec<Slot>,
@@ -90,15 +94,16 @@
     routing: Rc<Routing>,
     seed: u64,
     must_ask: bool,
-    /// Whether somebody tells of the list, where it has to be asked for.
+    /// Whether a list subscription is established. Matters only if `must_ask` is set.
     subscribed: bool,
 }
 
 impl Services {
-    /// The services of this catalog; `seed` is the balancer's own.
+    /// Creates the services of `catalog`. The seed of each is derived from `seed` and its name; a single service uses
+    /// `seed` itself.
     ///
     /// # Errors
-    /// [`SettingsError`], as [`Balancer::new`].
+    /// [`SettingsError`] from [`Balancer::new`] if the settings of a service are invalid.
     pub fn new(catalog: Rc<Catalog>, seed: u64, now: Time) -> Result<Self, SettingsError> {
         let must_ask = catalog.services.first().is_some_and(|s| s.facts.settings().must_ask);
         let directory = Directory::new(catalog.is_single());
@@ -119,10 +124,10 @@
         self.slots.push(Slot {
             balancer,
             removed: false,
-            open: 0,
+            open_requests: 0,
             close_within,
-            awake_until: now,
-            resting: None,
+            active_until: now,
+            suspended_timer: None,
         });
         let facts = &service.facts;
         Ok(self.directory.add(&service.name, &facts.zones, &facts.machine_types))
@@ -132,69 +137,70 @@
         self.routing.catalog.is_single()
     }
 
-    /// What is in force.
+    /// The current routing.
     pub fn routing(&self) -> Rc<Routing> {
         self.routing.clone()
     }
 
-    /// The services that are served, in order.
+    /// The ids of the services that are served, in ascending order.
     pub fn ids(&self) -> Vec<ServiceId> {
         self.directory.services().collect()
     }
 
-    /// Whether it is served.
+    /// Whether this service is served: it exists and is not removed.
     pub fn serves(&self, service: ServiceId) -> bool {
         self.slots.get(service.0 as usize).is_some_and(|s| !s.removed)
     }
 
-    /// Whether any upstream of any service takes requests.
+    /// Whether any upstream of any service takes new requests.
     pub fn any_live(&self) -> bool {
         self.directory.any_live()
     }
 
-    /// Upstreams in the list, and those that get nothing now, over all services; for gauges.
+    /// The number of upstreams in the list, and how many of them get no requests now, over all services; for gauges.
     pub fn pool(&self, now: Time) -> (usize, usize) {
         let pools = self.slots.iter().filter_map(|s| Some(s.balancer.as_ref()?.pool(now)));
-        pools.fold((0, 0), |(size, shut), pool| (size + pool.0, shut + pool.1))
+        pools.fold((0, 0), |(size, ejected), pool| (size + pool.0, ejected + pool.1))
     }
 
-    /// The caller holds one more request of this service, until [`Services::closed`].
-    pub fn opened(&mut self, service: ServiceId) {
+    /// Records that a request of this service was opened. The caller ends it by [`Services::request_closed`].
+    pub fn request_opened(&mut self, service: ServiceId) {
         if let Some(slot) = self.slots.get_mut(service.0 as usize) {
-            slot.open += 1;
+            slot.open_requests += 1;
         }
     }
 
-    /// The caller is done with a request of this service, and with all of its attempts.
-    pub fn closed(&mut self, service: ServiceId) {
+    /// Records that a request of this service and all of its attempts have ended. Drops the balancer of a removed
+    /// service with its last request.
+    pub fn request_closed(&mut self, service: ServiceId) {
         let Some(slot) = self.slots.get_mut(service.0 as usize) else { return };
-        slot.open = slot.open.saturating_sub(1);
-        if slot.removed && slot.open == 0 {
+        slot.open_requests = slot.open_requests.saturating_sub(1);
+        if slot.removed && slot.open_requests == 0 {
             slot.balancer = None;
         }
     }
 
-    /// The wall clock reads `wall` at the moment `now`: told before each list.
-    pub fn clock_read(&mut self, wall: Time, now: Time) {
-        self.directory.clock_read(wall, now);
+    /// Records that the wall clock reads `wall` at the time `now`. Call it before [`Services::apply_list`].
+    pub fn observe_wall_clock(&mut self, wall: Time, now: Time) {
+        self.directory.observe_wall_clock(wall, now);
     }
 
-    /// Takes in a list, and says what each service has to be told of it, by [`Services::handle`].
-    pub fn told(&mut self, list: &Message, kind: ListKind) -> Notified {
-        let mut told = self.directory.told(list, kind);
-        // Whoever asks for lists hears of each, or it would ask on.
-        if let Some(asks) = self.asks() {
-            told.part(asks);
+    /// Applies a list to the directory. The caller passes the members of each service on by [`Services::handle`].
+    pub fn apply_list(&mut self, list: &Message, kind: ListKind) -> DirectoryUpdate {
+        let mut update = self.directory.apply_list(list, kind);
+        // The subscribing service is notified of every list, or it would go on asking.
+        if let Some(subscribing) = self.subscribing_service() {
+            update.members_of(subscribing);
         }
-        told
+        update
     }
 
-    /// The service whose timer asks for the list for all of them.
-    fn asks(&self) -> Option<ServiceId> {
+    /// The service whose timer subscribes to the list on behalf of all services.
+    fn subscribing_service(&self) -> Option<ServiceId> {
         self.directory.services().next()
     }
 
-    /// Tells the balancer of this service, and appends what is to be done, in order.
+    /// Passes an event to the balancer of this service and appends the resulting actions to `out`, in order.
     pub fn handle(
         &mut self,
         now: Time,
@@ -202,84 +208,89 @@
         event: Event<'_>,
         out: &mut Vec<Action>,
     ) {
-        let asks = self.asks() == Some(service);
+        let subscribes = self.subscribing_service() == Some(service);
         let Some(slot) = self.slots.get_mut(service.0 as usize) else { return };
         let Some(balancer) = &mut slot.balancer else { return };
-        let from = out.len();
-        let told = matches!(event, Event::Members { kind: ListKind::Full | ListKind::Update, .. });
+        let start = out.len();
+        let is_list =
+            matches!(event, Event::Members { kind: ListKind::Full | ListKind::Update, .. });
         match &event {
             Event::Members { kind, .. } => {
-                slot.awake_until = now.plus(slot.close_within);
-                if asks && *kind != ListKind::Restored {
+                slot.active_until = now.plus(slot.close_within);
+                if subscribes && *kind != ListKind::Restored {
                     self.subscribed = *kind != ListKind::Unavailable;
                 }
             }
             Event::Answered(a) if self.directory.status(a.server) != Status::Live => {
-                slot.awake_until = now.plus(slot.close_within);
+                slot.active_until = now.plus(slot.close_within);
             }
             _ => {}
         }
-        let woken = slot.resting.take();
-        if let Some(token) = woken.filter(|_| !matches!(event, Event::Timer(_))) {
+        let suspended = slot.suspended_timer.take();
+        if let Some(token) = suspended.filter(|_| !matches!(event, Event::Timer(_))) {
             balancer.handle(now, Event::Timer(token), out);
         }
         balancer.handle(now, event, out);
-        let idle = slot.open == 0 && now >= slot.awake_until;
-        let asking = asks && self.must_ask && !self.subscribed;
-        let rests = idle && !asking && !self.routing.catalog.is_single();
-        let mut at = from;
-        while at < out.len() {
-            match out[at] {
-                Action::Arm { token, .. } if rests => {
-                    slot.resting = Some(token);
-                    out.remove(at);
+        let idle = slot.open_requests == 0 && now >= slot.active_until;
+        let subscribing = subscribes && self.must_ask && !self.subscribed;
+        let suspends = idle && !subscribing && !self.routing.catalog.is_single();
+        let mut i = start;
+        while i < out.len() {
+            match out[i] {
+                Action::Arm { token, .. } if suspends => {
+                    slot.suspended_timer = Some(token);
+                    out.remove(i);
                 }
-                // What is told now need not be asked for by the tick that it woke.
-                Action::Subscribe if !asks || told => drop(out.remove(at)),
-                _ => at += 1,
+                // A suspended tick that a list triggered need not subscribe: the list has just arrived.
+                Action::Subscribe if !subscribes || is_list => drop(out.remove(i)),
+                _ => i += 1,
             }
         }
     }
 
-    /// Puts another catalog in force: services that it adds are served from the next list on, those that it leaves
-    /// out no longer, all others go on as they are.
+    /// Replaces the catalog. Added services are served from the next list on, services that the new catalog does not
+    /// have are removed, and all others continue unchanged.
     ///
     /// # Errors
-    /// [`ReloadError`]; nothing has changed then.
+    /// [`ReloadError`] if the catalog is refused; nothing is changed then.
     pub fn reload(&mut self, catalog: Rc<Catalog>, now: Time) -> Result<Reloaded, ReloadError> {
         if catalog.is_single() != self.is_single() {
             return Err(ReloadError::Kind);
         }
-        let before = self.routing.clone();
-        let at = |name: &str| before.catalog.services.iter().position(|s| s.name == name);
-        let kept: Vec<Option<usize>> = catalog.services.iter().map(|s| at(&s.name)).collect();
-        for (i, (service, at)) in catalog.services.iter().zip(&kept).enumerate() {
-            if at.is_some_and(|at| before.catalog.services[at].facts != service.facts) {
+        let previous = self.routing.clone();
+        let previous_index =
+            |name: &str| previous.catalog.services.iter().position(|s| s.name == name);
+        let retained: Vec<Option<usize>> =
+            catalog.services.iter().map(|s| previous_index(&s.name)).collect();
+        for (i, (service, index)) in catalog.services.iter().zip(&retained).enumerate() {
+            if index.is_some_and(|index| previous.catalog.services[index].facts != service.facts) {
                 return Err(ReloadError::Settings(i));
             }
-            // Checked before anything is changed.
+            // All settings are validated before anything is changed.
             service.facts.settings().checked()?;
         }
-        let stays = |i: usize| kept.contains(&Some(i));
+        let is_retained = |i: usize| retained.contains(&Some(i));
         let (mut removed, mut changes) = (Vec::new(), Vec::new());
-        for (i, service) in before.catalog.services.iter().enumerate().filter(|(i, _)| !stays(*i)) {
-            let id = before.ids[i];
+        for (i, service) in
+            previous.catalog.services.iter().enumerate().filter(|(i, _)| !is_retained(*i))
+        {
+            let id = previous.ids[i];
             changes.extend(self.directory.remove(&service.name));
             let slot = &mut self.slots[id.0 as usize];
             slot.removed = true;
-            if slot.open == 0 {
+            if slot.open_requests == 0 {
                 slot.balancer = None;
             }
             removed.push(id);
         }
-        let mut ids = Vec::with_capacity(kept.len());
-        for (service, at) in catalog.services.iter().zip(&kept) {
-            ids.push(match at {
-                Some(at) => before.ids[*at],
+        let mut ids = Vec::with_capacity(retained.len());
+        for (service, index) in catalog.services.iter().zip(&retained) {
+            ids.push(match index {
+                Some(index) => previous.ids[*index],
                 None => self.add(service, now)?,
             });
         }
-        let added = kept.iter().filter(|at| at.is_none()).count();
+        let added = retained.iter().filter(|index| index.is_none()).count();
         self.routing = Rc::new(Routing { catalog, ids });
         Ok(Reloaded { routing: self.routing.clone(), removed, added, changes })
     }
