--- a/src/hollow/driver.rs
+++ b/src/hollow/driver.rs
@@ -256,7 +256,8 @@
         addresses.rotate_left(first);
         let mode = Mode::Pushed { grace };
         let planner = WatchPlanner::new(addresses, mode, known.revision, Instant::now());
-        let planner = if narrowed.whole { planner } else { planner.requesting_full_list() };
+        let planner =
+            if narrowed.covers_all_services { planner } else { planner.requesting_full_list() };
         let filter = catalog.names().map_or_else(Filter::all, Filter::services);
         // The sender is held so that the channel stays open; a simulated balancer never sends a command.
         let (_commands, commands) = mpsc::unbounded_channel();
