--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,18 +1,18 @@
-//! The adapter as a process on its wire.
+//! Runs the adapter as a process and checks its messages on standard input and output.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
 use serde_json::{Value, json};
 
-fn drill(input: &str) -> Output {
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_hollowpaddle-benchlink"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // The adapter may end at the first bad line, before it has read the rest.
+    // The adapter may exit at the first invalid line, before it has read the rest.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
     child.wait_with_output().expect("the adapter ends")
 }
@@ -50,8 +50,8 @@
 }
 
 #[test]
-fn a_request_is_relayed_and_its_instance_named() {
-    let output = drill(&format!(
+fn a_relay_names_its_instance() {
+    let output = run_adapter(&format!(
         "{}{}",
         batch(1, 1000.0, json!([init(3), list(3), init(4), list(4)])),
         batch(2, 1001.5, json!([order(3, "rq_a", 1200.0), order(4, "rq_b", 1200.0)])),
@@ -66,8 +66,8 @@
 }
 
 #[test]
-fn a_killed_instance_starts_with_nothing() {
-    let output = drill(&format!(
+fn a_restarted_instance_has_no_state() {
+    let output = run_adapter(&format!(
         "{}{}",
         batch(1, 1000.0, json!([init(3), list(3), order(3, "rq_a", 1200.0)])),
         batch(
@@ -83,12 +83,12 @@
     assert!(output.status.success());
     let replies = replies(&output);
     assert_eq!(relays(&replies[0]).len(), 1);
-    assert!(relays(&replies[1]).is_empty(), "it knows no upstream yet");
+    assert!(relays(&replies[1]).is_empty(), "the new instance has no upstreams yet");
 }
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_failed() {
-    let output = drill(&format!(
+    let output = run_adapter(&format!(
         "{}{}",
         batch(1, 1000.0, json!([init(0), list(0), order(0, "rq_a", 1200.0)])),
         batch(
@@ -102,13 +102,13 @@
     assert!(replies[1]["cmds"].as_array().unwrap().iter().any(|c| c.get("FinishError").is_some()));
 }
 
-fn cmds<'a>(reply: &'a Value, name: &str) -> Vec<&'a Value> {
+fn commands<'a>(reply: &'a Value, name: &str) -> Vec<&'a Value> {
     reply["cmds"].as_array().expect("cmds").iter().filter_map(|c| c.get(name)).collect()
 }
 
 #[test]
-fn order_placement_and_closing_settings_reach_the_module() {
-    // Failure: the adapter passed none of ByArrival, TurnGap, ZonesAllowed, BoundTo and DrainClose on.
+fn order_placement_and_closing_settings_reach_the_policy() {
+    // Failure: the adapter did not pass on ByArrival, TurnGap, ZonesAllowed, BoundTo and DrainClose.
     let mut start = init(0);
     let facts = &mut start["Init"]["Facts"];
     facts["Services"] = json!([
@@ -119,19 +119,19 @@
     facts["Safety"]["TurnGap"] = json!(30.0);
     let line = |name: &str, az: u32, status: &str| json!({"Upstream": name, "Az": az, "Type": 0, "Status": status});
     let lines = |kind: &str, lines: Value| json!({"Membership": {"Who": 0, "Kind": kind, "Generation": 1, "Lines": lines}});
-    let ask = |job: &str, class: u32, key: &str| json!({"Order": {"Who": 0, "Job": job, "TierClass": class, "DropDead": 1300.0, "Object": key}});
+    let request = |job: &str, class: u32, key: &str| json!({"Order": {"Who": 0, "Job": job, "TierClass": class, "DropDead": 1300.0, "Object": key}});
     let all: Vec<_> = (0..4).map(|i| line(&format!("10.0.0.{i}:80"), i % 2, "live")).collect();
-    let output = drill(&format!(
+    let output = run_adapter(&format!(
         "{}{}{}",
         batch(1, 1000.0, json!([start, lines("restored", json!(all))])),
         batch(
             2,
             1001.0,
             json!([
-                ask("a", 0, "00ff"),
-                ask("b", 0, "00ff"),
-                ask("c", 1, "0001"),
-                ask("d", 2, "0002")
+                request("a", 0, "00ff"),
+                request("b", 0, "00ff"),
+                request("c", 1, "0001"),
+                request("d", 2, "0002")
             ])
         ),
         batch(3, 1002.0, json!([lines("update", json!([line("10.0.0.1:80", 1, "quiescing")]))])),
@@ -140,14 +140,18 @@
     let replies = replies(&output);
     let sent = relays(&replies[1]);
     let jobs: Vec<_> = sent.iter().map(|r| r["Job"].as_str().unwrap()).collect();
-    assert_eq!(jobs, ["a", "c"], "b waits for its turn, d has no upstream of its kind");
-    let at = sent[1]["Upstream"].as_str().unwrap();
-    assert!(["10.0.0.1:80", "10.0.0.3:80"].contains(&at), "c goes to zone 1: {at}");
-    assert_eq!(cmds(&replies[2], "FreeLinks")[0]["Upstream"], "10.0.0.1:80");
+    assert_eq!(
+        jobs,
+        ["a", "c"],
+        "b waits for a, which has the same key; d has no upstream of its kind"
+    );
+    let upstream = sent[1]["Upstream"].as_str().unwrap();
+    assert!(["10.0.0.1:80", "10.0.0.3:80"].contains(&upstream), "c goes to zone 1: {upstream}");
+    assert_eq!(commands(&replies[2], "FreeLinks")[0]["Upstream"], "10.0.0.1:80");
 }
 
-fn complaint(line: &str) -> String {
-    let output = drill(&format!("{}{line}\n", batch(7, 1.0, json!([]))));
+fn error_output(line: &str) -> String {
+    let output = run_adapter(&format!("{}{line}\n", batch(7, 1.0, json!([]))));
     assert_eq!(output.status.code(), Some(1));
     let text = String::from_utf8(output.stderr).expect("UTF-8");
     assert_eq!(text.lines().count(), 1, "{text}");
@@ -156,22 +160,22 @@
 }
 
 #[test]
-fn malformed_input_is_named_in_one_line() {
+fn malformed_input_is_reported_in_one_line() {
     let text =
-        complaint(r#"{"Ts":2,"batch":8,"msgs":[{"Order":{"Who":1,"Job":"a","TierClass":0}}]}"#);
+        error_output(r#"{"Ts":2,"batch":8,"msgs":[{"Order":{"Who":1,"Job":"a","TierClass":0}}]}"#);
     assert!(text.contains("batch 8") && text.contains("DropDead"), "{text}");
-    let text = complaint(r#"{"Ts":2,"batch":8,"msgs":[{"Order":{"Who":"x"}}]}"#);
+    let text = error_output(r#"{"Ts":2,"batch":8,"msgs":[{"Order":{"Who":"x"}}]}"#);
     assert!(text.contains("batch 8") && text.contains("Who"), "{text}");
-    let text = complaint(r#"{"Ts":2,"batch":8,"msgs":[{"Surprise":{"Who":1}}]}"#);
+    let text = error_output(r#"{"Ts":2,"batch":8,"msgs":[{"Surprise":{"Who":1}}]}"#);
     assert!(text.contains("batch 8") && text.contains("Surprise"), "{text}");
-    let text = complaint(r#"{"Ts":2,"batch":"#);
+    let text = error_output(r#"{"Ts":2,"batch":"#);
     assert!(text.contains("the batch after 7"), "{text}");
-    let odd = json!([init(3), list(3), order(3, "rq_a", 1200.0), {"Result": {"Who": 3,
+    let unknown_rc = json!([init(3), list(3), order(3, "rq_a", 1200.0), {"Result": {"Who": 3,
         "Job": "rq_a", "Go": 0, "Upstream": "10.0.0.1:80", "Rc": 299, "Latency": 9.0}}]);
-    let text = complaint(batch(8, 1000.0, odd).trim());
+    let text = error_output(batch(8, 1000.0, unknown_rc).trim());
     assert!(text.contains("batch 8") && text.contains("Rc"), "{text}");
     let mut bad = init(1);
     bad["Init"]["Facts"]["Services"] = json!([]);
-    let text = complaint(batch(8, 2.0, json!([bad])).trim());
+    let text = error_output(batch(8, 2.0, json!([bad])).trim());
     assert!(text.contains("batch 8") && text.contains("Facts"), "{text}");
 }
