--- a/tests/schedules.rs
+++ b/tests/schedules.rs
@@ -1,9 +1,9 @@
-//! Whole clusters under random schedules of kills, pauses, partitions and lost messages, in simulated time: the pure
-//! parts (`replica::core`, `lease::holder`) with nothing between them but this file's network, disks and clocks.
+//! Runs complete clusters under random schedules of kills, pauses, partitions and lost messages, in simulated time.
+//! Covers `replica::core` and `lease::holder`, which do no I/O; this file simulates their network, disks and clocks.
 //!
-//! Asserted over all schedules: at no instant do two processes hold the duty; a token is granted to one holder only
-//! and to none after a higher one; writes accepted under tokens never go back to an older one; instances at one
-//! revision have the same list; and once all is healed, somebody holds the duty again.
+//! Checked in all schedules: two processes never hold the duty at the same time; a token is granted to one holder only
+//! and never after a higher token; once a write under a token is accepted, none under an older token is; instances at
+//! the same revision have the same list; and after all faults are healed, a process acquires the duty again.
 
 use std::collections::{BTreeMap, HashMap};
 use std::convert::Infallible;
@@ -25,7 +25,7 @@
 const HEALED_STEPS: u64 = 400;
 const TTL_MS: u64 = 300;
 
-/// A machine's clock: its rate is within what `lease::holder::CLOCK_DRIFT_DIVISOR` allows of any other's.
+/// A machine's clock. Its rate differs from any other's by no more than `lease::holder::CLOCK_DRIFT_DIVISOR` allows.
 #[derive(Clone, Copy)]
 struct Clock(f64);
 
@@ -38,7 +38,7 @@
 struct Instance {
     replica: Option<Replica>,
     disk: Vec<Vec<u8>>,
-    whole: Option<Vec<u8>>,
+    snapshot: Option<Vec<u8>>,
     paused: bool,
     clock: Clock,
 }
@@ -55,27 +55,27 @@
     alive: bool,
     paused: bool,
     clock: Clock,
-    /// The call that is out: its number, and when it was made by the own clock.
-    out: Option<(u64, Duration)>,
-    seen: Token,
+    /// The pending call: its number, and when it was made by the process's own clock.
+    pending: Option<(u64, Duration)>,
+    last_token: Token,
 }
 
-struct World {
+struct Cluster {
     rng: StdRng,
     now: u64,
     instances: Vec<Instance>,
     processes: Vec<Process>,
-    /// `(due, to, message)`, and the like for calls and answers.
+    /// `(due, to, message)`; calls are `(due, from, to, number, call)`, answers `(due, to, number, outcome, call)`.
     messages: Vec<(u64, usize, Vec<u8>)>,
     calls: Vec<(u64, usize, usize, u64, Call)>,
     answers: Vec<(u64, usize, u64, Option<Outcome>, Call)>,
-    proposed: HashMap<ProposalId, (usize, u64, Call)>,
-    cut: Option<usize>,
+    proposals: HashMap<ProposalId, (usize, u64, Call)>,
+    isolated: Option<usize>,
     loss: f64,
-    next: u64,
+    next_id: u64,
     granted: BTreeMap<Token, usize>,
     /// The last token under which each instance saw a write accepted.
-    written: Vec<Token>,
+    accepted_writes: Vec<Token>,
     grants: u64,
 }
 
@@ -93,7 +93,7 @@
     }
 }
 
-impl World {
+impl Cluster {
     fn new(seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let count = if rng.gen_bool(0.8) { 3 } else { 5 };
@@ -102,7 +102,7 @@
             .map(|_| Instance {
                 replica: None,
                 disk: Vec::new(),
-                whole: None,
+                snapshot: None,
                 paused: false,
                 clock: clock(&mut rng),
             })
@@ -113,12 +113,12 @@
                 alive: true,
                 paused: false,
                 clock: clock(&mut rng),
-                out: None,
-                seen: 0,
+                pending: None,
+                last_token: 0,
             })
             .collect();
         let loss = [0.0, 0.02, 0.2][rng.gen_range(0..3)];
-        let mut world = Self {
+        let mut cluster = Self {
             rng,
             now: 0,
             instances,
@@ -126,72 +126,74 @@
             messages: Vec::new(),
             calls: Vec::new(),
             answers: Vec::new(),
-            proposed: HashMap::new(),
-            cut: None,
+            proposals: HashMap::new(),
+            isolated: None,
             loss,
-            next: 0,
+            next_id: 0,
             granted: BTreeMap::new(),
-            written: vec![0; count],
+            accepted_writes: vec![0; count],
             grants: 0,
         };
-        (0..count).for_each(|i| world.boot(i));
-        world
+        (0..count).for_each(|i| cluster.start_instance(i));
+        cluster
     }
 
-    fn boot(&mut self, i: usize) {
+    fn start_instance(&mut self, i: usize) {
         let voters = (1..=self.instances.len() as u64).collect();
-        let at = &mut self.instances[i];
-        let kept =
-            RaftStorage::restore(voters, at.whole.as_deref(), &at.disk).expect("its own records");
-        self.next += 1;
-        let again = Duration::from_millis(100);
-        let replica = Replica::new::<Infallible>(i as u64 + 1, kept, 64, self.next, again);
-        at.replica = Some(replica.expect("starts"));
-        // What it applies again was accepted before.
-        self.written[i] = 0;
+        let instance = &mut self.instances[i];
+        let storage = RaftStorage::restore(voters, instance.snapshot.as_deref(), &instance.disk)
+            .expect("restores its own records");
+        self.next_id += 1;
+        let proposal_retry = Duration::from_millis(100);
+        let replica =
+            Replica::new::<Infallible>(i as u64 + 1, storage, 64, self.next_id, proposal_retry);
+        instance.replica = Some(replica.expect("the replica starts"));
+        // Replayed writes were accepted before the restart, so the check of token order starts over.
+        self.accepted_writes[i] = 0;
     }
 
-    fn fault(&mut self) {
+    fn inject_fault(&mut self) {
         let i = self.rng.gen_range(0..self.instances.len());
         let p = self.rng.gen_range(0..self.processes.len());
         match self.rng.gen_range(0..9) {
             0 => self.instances[i].replica = None,
-            1 if self.instances[i].replica.is_none() => self.boot(i),
+            1 if self.instances[i].replica.is_none() => self.start_instance(i),
             2 => self.instances[i].paused ^= true,
-            3 => self.cut = Some(i),
-            4 => self.cut = None,
+            3 => self.isolated = Some(i),
+            4 => self.isolated = None,
             5 => self.processes[p].paused ^= true,
             6 => {
                 let process = &mut self.processes[p];
                 process.alive ^= true;
                 process.holder = Holder::new(Duration::from_millis(TTL_MS));
-                process.out = None;
+                process.pending = None;
             }
             7 => {
-                let at = &mut self.instances[i];
-                if let Some(replica) = &mut at.replica {
-                    at.whole = Some(replica.compact().expect("compacts"));
-                    at.disk.clear();
+                let instance = &mut self.instances[i];
+                if let Some(replica) = &mut instance.replica {
+                    instance.snapshot = Some(replica.compact().expect("the log is compacted"));
+                    instance.disk.clear();
                 }
             }
             _ => {}
         }
     }
 
-    fn heal(&mut self) {
-        (self.cut, self.loss) = (None, 0.0);
+    fn heal_all(&mut self) {
+        (self.isolated, self.loss) = (None, 0.0);
         for i in 0..self.instances.len() {
             self.instances[i].paused = false;
             if self.instances[i].replica.is_none() {
-                self.boot(i);
+                self.start_instance(i);
             }
         }
-        // Who has died stays dead: what it held has to lapse. But for one, so that there is a taker.
+        // Dead processes stay dead, so that their leases have to expire; one is revived, so that some process can
+        // acquire the duty.
         for process in &mut self.processes {
             process.paused = false;
         }
-        let taker = self.rng.gen_range(0..self.processes.len());
-        self.processes[taker].alive = true;
+        let survivor = self.rng.gen_range(0..self.processes.len());
+        self.processes[survivor].alive = true;
     }
 
     fn step(&mut self) {
@@ -205,12 +207,12 @@
         let now = self.now;
         let holding = |p: &Process| p.alive && p.holder.token(p.clock.at(now)).is_some();
         let holders = self.processes.iter().filter(|p| holding(p)).count();
-        assert!(holders <= 1, "{holders} hold the duty at {now} ms");
+        assert!(holders <= 1, "{holders} processes hold the duty at {now} ms");
     }
 
     fn run_instance(&mut self, i: usize) {
         if self.instances[i].paused || self.instances[i].replica.is_none() {
-            // A paused one still has what was sent to it; a dead one does not.
+            // A paused instance keeps the messages sent to it; a dead one loses them.
             let dead = self.instances[i].replica.is_none();
             if dead {
                 self.messages.retain(|m| m.1 != i);
@@ -219,15 +221,15 @@
             return;
         }
         let now = self.now;
-        let at = &mut self.instances[i];
-        let local = at.clock.at(now);
-        let Some(replica) = at.replica.as_mut() else { return };
+        let instance = &mut self.instances[i];
+        let local = instance.clock.at(now);
+        let Some(replica) = instance.replica.as_mut() else { return };
         replica.tick(local);
-        let mine = |due: u64, to: usize| due <= now && to == i;
-        for (_, _, message) in self.messages.extract_if(.., |m| mine(m.0, m.1)) {
-            replica.step(decode(&message).expect("a message")).expect("taken");
+        let is_due = |due: u64, to: usize| due <= now && to == i;
+        for (_, _, message) in self.messages.extract_if(.., |m| is_due(m.0, m.1)) {
+            replica.step(decode(&message).expect("message decodes")).expect("message is accepted");
         }
-        for (_, from, _, number, call) in self.calls.extract_if(.., |c| mine(c.0, c.2)) {
+        for (_, from, _, number, call) in self.calls.extract_if(.., |c| is_due(c.0, c.2)) {
             let duty = "d".to_owned();
             let command = match call {
                 Call::Acquire => {
@@ -241,29 +243,34 @@
                 }
             };
             match replica.propose(&command) {
-                Ok(id) => drop(self.proposed.insert(id, (from, number, call))),
+                Ok(id) => drop(self.proposals.insert(id, (from, number, call))),
                 Err(_) => self.answers.push((now + 5, from, number, None, call)),
             }
         }
-        let disk = &mut at.disk;
-        let turn = replica.process_ready(local, |records: &[Record]| {
-            disk.extend(records.iter().map(|r| postcard::to_stdvec(r).expect("a record")));
+        let disk = &mut instance.disk;
+        let ready = replica.process_ready(local, |records: &[Record]| {
+            disk.extend(records.iter().map(|r| postcard::to_stdvec(r).expect("record encodes")));
             Ok::<_, Infallible>(())
         });
-        let turn = turn.expect("goes on");
-        for message in turn.messages {
+        let ready = ready.expect("the ready set is processed");
+        for message in ready.messages {
             let to = message.to as usize - 1;
-            let lost = self.cut == Some(i) || self.cut == Some(to) || self.rng.gen_bool(self.loss);
+            let lost = self.isolated == Some(i)
+                || self.isolated == Some(to)
+                || self.rng.gen_bool(self.loss);
             if !lost {
                 let due = now + self.rng.gen_range(1..25);
-                self.messages.push((due, to, encode(&message).expect("a message")));
+                self.messages.push((due, to, encode(&message).expect("message encodes")));
             }
         }
-        for (id, outcome) in turn.outcomes {
-            let Some((from, number, call)) = self.proposed.get(&id) else { continue };
+        for (id, outcome) in ready.outcomes {
+            let Some((from, number, call)) = self.proposals.get(&id) else { continue };
             if let (Call::Write(token), Outcome::Revision(_)) = (call, &outcome) {
-                assert!(*token >= self.written[i], "a write under an older token was accepted");
-                self.written[i] = *token;
+                assert!(
+                    *token >= self.accepted_writes[i],
+                    "a write under an older token was accepted"
+                );
+                self.accepted_writes[i] = *token;
             }
             let due = now + self.rng.gen_range(1..25);
             self.answers.push((due, *from, *number, Some(outcome), call.clone()));
@@ -279,8 +286,8 @@
         let local = process.clock.at(now);
         for (_, _, number, outcome, call) in self.answers.extract_if(.., |a| a.0 <= now && a.1 == p)
         {
-            let Some((out, asked)) = process.out else { continue };
-            if out != number {
+            let Some((pending, called_at)) = process.pending else { continue };
+            if pending != number {
                 continue;
             }
             match (call, outcome) {
@@ -288,20 +295,25 @@
                 (Call::Acquire, Some(Outcome::Grant(Some(grant)))) => {
                     let before = self.granted.insert(grant.token, p);
                     assert!(before.is_none_or(|by| by == p), "token {} granted twice", grant.token);
-                    assert!(grant.token > process.seen, "a token went back");
-                    process.seen = grant.token;
+                    assert!(
+                        grant.token > process.last_token,
+                        "a token was granted after a higher one"
+                    );
+                    process.last_token = grant.token;
                     self.grants += 1;
-                    process.holder.granted(grant.token, asked);
+                    process.holder.granted(grant.token, called_at);
+                }
+                (Call::Renew(_), Some(Outcome::Grant(Some(_)))) => {
+                    process.holder.renewed(called_at)
                 }
-                (Call::Renew(_), Some(Outcome::Grant(Some(_)))) => process.holder.renewed(asked),
                 (_, Some(_)) => drop(process.holder.refused(local)),
                 (_, None) => process.holder.unanswered(local),
             }
-            process.out = None;
+            process.pending = None;
         }
-        if let Some((_, asked)) = process.out {
-            if local >= asked + process.holder.call_timeout() {
-                process.out = None;
+        if let Some((_, called_at)) = process.pending {
+            if local >= called_at + process.holder.call_timeout() {
+                process.pending = None;
                 process.holder.unanswered(local);
             } else if process.holder.until().is_none_or(|until| local < until) {
                 return;
@@ -311,22 +323,22 @@
             Step::Acquire => Call::Acquire,
             Step::Renew(token) => Call::Renew(token),
             Step::Stop(_) | Step::Wait(_) => {
-                // While it holds the duty, it does it now and then.
+                // A process that holds the duty sends a write now and then.
                 let Some(token) = process.holder.token(local) else { return };
                 if !self.rng.gen_bool(0.1) {
                     return;
                 }
-                self.send(p, 0, Call::Write(token));
+                self.send_call(p, 0, Call::Write(token));
                 return;
             }
         };
-        self.next += 1;
-        process.out = Some((self.next, local));
-        self.send(p, self.next, call);
+        self.next_id += 1;
+        process.pending = Some((self.next_id, local));
+        self.send_call(p, self.next_id, call);
     }
 
-    /// Asks all instances that may lead by themselves: the one that does decides.
-    fn send(&mut self, p: usize, number: u64, call: Call) {
+    /// Sends a call to a random instance of those that believe they lead, or to any instance if none does.
+    fn send_call(&mut self, p: usize, number: u64, call: Call) {
         let leads = |i: &Instance| i.replica.as_ref().is_some_and(Replica::leads);
         let leaders: Vec<usize> =
             (0..self.instances.len()).filter(|i| leads(&self.instances[*i])).collect();
@@ -334,37 +346,41 @@
             0 => self.rng.gen_range(0..self.instances.len()),
             n => leaders[self.rng.gen_range(0..n)],
         };
-        // A write may be held up between its last check and the wire: its process was paused right there.
-        let late = matches!(call, Call::Write(_)) && self.rng.gen_bool(0.2);
-        let due = self.now + self.rng.gen_range(if late { 1..1200 } else { 1..25 });
+        // A write may be delayed after its last lease check, as if its process had been paused before the send.
+        let delayed = matches!(call, Call::Write(_)) && self.rng.gen_bool(0.2);
+        let due = self.now + self.rng.gen_range(if delayed { 1..1200 } else { 1..25 });
         self.calls.push((due, p, to, number, call));
     }
 }
 
-fn run(seed: u64) -> u64 {
-    let mut world = World::new(seed);
-    let faults = world.rng.gen_range(0.0..0.15);
+fn run_schedule(seed: u64) -> u64 {
+    let mut cluster = Cluster::new(seed);
+    let fault_rate = cluster.rng.gen_range(0.0..0.15);
     for _ in 0..FAULTY_STEPS {
-        if world.rng.gen_bool(faults) {
-            world.fault();
+        if cluster.rng.gen_bool(fault_rate) {
+            cluster.inject_fault();
         }
-        world.step();
+        cluster.step();
     }
-    world.heal();
-    let grants = world.grants;
+    cluster.heal_all();
+    let grants = cluster.grants;
     for _ in 0..HEALED_STEPS {
-        world.step();
-        let now = world.now;
-        if world.processes.iter().any(|p| p.alive && p.holder.token(p.clock.at(now)).is_some())
-            && world.now.is_multiple_of(500)
+        cluster.step();
+        let now = cluster.now;
+        if cluster.processes.iter().any(|p| p.alive && p.holder.token(p.clock.at(now)).is_some())
+            && cluster.now.is_multiple_of(500)
         {
             break;
         }
     }
-    let now = world.now;
-    let held = world.processes.iter().any(|p| p.alive && p.holder.token(p.clock.at(now)).is_some());
-    assert!(held || world.grants > grants, "healed, and nobody holds the duty");
-    let lists: Vec<_> = world.instances.iter().filter_map(|i| i.replica.as_ref()).collect();
+    let now = cluster.now;
+    let has_holder =
+        cluster.processes.iter().any(|p| p.alive && p.holder.token(p.clock.at(now)).is_some());
+    assert!(
+        has_holder || cluster.grants > grants,
+        "no process holds the duty after the faults were healed"
+    );
+    let lists: Vec<_> = cluster.instances.iter().filter_map(|i| i.replica.as_ref()).collect();
     for pair in lists.windows(2) {
         let [a, b] = [pair[0].machine(), pair[1].machine()];
         if a.list().revision() == b.list().revision() {
@@ -372,15 +388,15 @@
             assert_eq!(
                 a.list().full_list(&all),
                 b.list().full_list(&all),
-                "one revision, two lists"
+                "different lists at the same revision"
             );
         }
     }
-    world.grants
+    cluster.grants
 }
 
 #[test]
-fn never_two_holders_nor_a_token_that_goes_back_over_ten_thousand_schedules() {
+fn one_holder_and_rising_tokens_over_ten_thousand_schedules() {
     let threads = std::thread::available_parallelism().map_or(4, usize::from) as u64;
     let grants: u64 = std::thread::scope(|scope| {
         let run_all = |t: u64| {
@@ -388,15 +404,15 @@
                 let seeds = (0..SCHEDULES).filter(|seed| seed % threads == t);
                 seeds
                     .map(|seed| {
-                        let ended = std::panic::catch_unwind(|| run(seed));
+                        let ended = std::panic::catch_unwind(|| run_schedule(seed));
                         ended.unwrap_or_else(|_| panic!("schedule {seed}"))
                     })
                     .sum::<u64>()
             }
         };
         let running: Vec<_> = (0..threads).map(|t| scope.spawn(run_all(t))).collect();
-        running.into_iter().map(|t| t.join().expect("a schedule failed")).sum()
+        running.into_iter().map(|t| t.join().expect("all schedules pass")).sum()
     });
     println!("{SCHEDULES} schedules, {grants} grants");
-    assert!(grants > SCHEDULES, "the schedules must exercise handing over");
+    assert!(grants > SCHEDULES, "the schedules must include hand-overs");
 }
