--- a/tests/crossings/system_calls.rs
+++ b/tests/crossings/system_calls.rs
@@ -1,60 +1,72 @@
-//! System calls that fail, or do less than they were asked for, as Linux documents.
+//! System calls that fail or complete only partly, in the ways that Linux documents.
 
 use super::*;
 use crate::shim::faults;
 
-/// Clients side by side, and the requests of each.
+/// Concurrent clients.
 const CLIENTS: u64 = 8;
+/// Requests per client.
 const REQUESTS: u64 = 40;
 
-/// Starts a node in which one call in `rate` of these kinds fails.
-fn faulty(kinds: &str, rate: u32, seed: u64, known: Vec<serde_json::Value>) -> Node {
+/// Starts a node in which one in `rate` system calls of the given kinds fails.
+fn start_faulty(kinds: &str, rate: u32, seed: u64, members: Vec<serde_json::Value>) -> Node {
     let mut command = Command::new(NODE);
     command.envs(faults(kinds, rate, seed));
-    Node::start_by(command, &config(known))
+    Node::start_by(command, &config(members))
 }
 
-/// Asks through a node with such calls; the requests that got no whole answer, and how each ended.
+/// Sends requests through a node with faulty system calls and describes those without a complete answer in time.
 fn unanswered(kinds: &str, rate: u32, seed: u64) -> Vec<String> {
     let body: &'static str = "y".repeat(3000).leak();
     let upstreams: Vec<Upstream> = (0..8).map(|_| Upstream::start(move |_| ok(body))).collect();
-    let known: Vec<&Upstream> = upstreams.iter().collect();
-    let node = faulty(kinds, rate, seed, members(&known));
+    let upstream_refs: Vec<&Upstream> = upstreams.iter().collect();
+    let node = start_faulty(kinds, rate, seed, members(&upstream_refs));
     let address = node.address;
-    let ask = move |client: u64| {
+    let run_client = move |client: u64| {
         let mut connection = Client::to(address);
-        let mut lost = Vec::new();
+        let mut failures = Vec::new();
         for request in 0..REQUESTS {
             let id = format!("r{client}-{request}");
             let text = match request % 2 {
                 0 => read(&id, 2000),
                 _ => alarm(&id, 2000, &"x".repeat(5000)),
             };
-            let from = Instant::now();
+            let sent_at = Instant::now();
             if let Err(cause) = connection.try_send(&text) {
-                lost.push(format!("{id}: not sent: {cause}"));
+                failures.push(format!("{id}: not sent: {cause}"));
             }
-            if connection.answer().is_none() || from.elapsed() > Duration::from_millis(2500) {
-                lost.push(format!("{id}: no answer after {:?}", from.elapsed()));
+            if connection.answer().is_none() || sent_at.elapsed() > Duration::from_millis(2500) {
+                failures.push(format!("{id}: no answer after {:?}", sent_at.elapsed()));
                 connection = Client::to(address);
             }
         }
-        lost
+        failures
     };
     std::thread::scope(|scope| {
-        let clients: Vec<_> = (0..CLIENTS).map(|client| scope.spawn(move || ask(client))).collect();
+        let clients: Vec<_> =
+            (0..CLIENTS).map(|client| scope.spawn(move || run_client(client))).collect();
         clients.into_iter().flat_map(|client| client.join().expect("a client")).collect()
     })
 }
 
 #[test]
-fn a_call_that_is_interrupted_ends_no_connection() {
-    let lost = unanswered("interrupt,wait", 20, 1);
-    assert!(lost.is_empty(), "{} of {}: {lost:#?}", lost.len(), CLIENTS * REQUESTS);
+fn interrupted_calls_close_no_connection() {
+    let failures = unanswered("interrupt,wait", 20, 1);
+    assert!(
+        failures.is_empty(),
+        "{} of {} requests failed: {failures:#?}",
+        failures.len(),
+        CLIENTS * REQUESTS
+    );
 }
 
 #[test]
-fn a_short_read_or_write_leaves_no_request_waiting() {
-    let lost = unanswered("short", 20, 1);
-    assert!(lost.is_empty(), "{} of {}: {lost:#?}", lost.len(), CLIENTS * REQUESTS);
+fn short_reads_and_writes_leave_no_request_unanswered() {
+    let failures = unanswered("short", 20, 1);
+    assert!(
+        failures.is_empty(),
+        "{} of {} requests failed: {failures:#?}",
+        failures.len(),
+        CLIENTS * REQUESTS
+    );
 }
