--- a/tests/crossings/mod.rs
+++ b/tests/crossings/mod.rs
@@ -500,8 +500,8 @@
     assert!(received_nothing(&seen), "retried after its window");
 }
 
-/// An upstream that calls `handler` with the number of each request and its connection, which stays open while `handler`
-/// returns true.
+/// An upstream that calls `handler` with the number of each request and its connection. The connection stays open while
+/// `handler` returns true.
 fn scripted(handler: impl Fn(usize, &mut TcpStream) -> bool + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
