--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -1,6 +1,6 @@
-//! Half of the upstreams drain under load, seconds after the proxies' watches were frozen, reset, cut or moved: no
-//! send begins after the grace of what counts as told, and no request is lost. And the size of fleet that is held:
-//! 1,024 watches and 1,024 members.
+//! Drains half of the upstreams under load, soon after the proxies' watches were frozen, reset, cut or moved. No send
+//! may start after the grace period, counted from when the list update counts as delivered, and no request may be lost.
+//! Also tests the supported fleet size: 1,024 watches and 1,024 members.
 
 #[allow(dead_code)] // Each test file uses part of the harness.
 mod harness;
@@ -16,46 +16,46 @@
 use serde_json::{Value, json};
 
 const SOON: Duration = Duration::from_secs(10);
-/// Of examples/proxy.json, with the slack of PROTOCOL.
-const GRACE: Duration = Duration::from_millis(500 + 50);
-/// FLEET: what a silent watch misses counts as told so long after it fell silent.
-const SILENT: Duration = Duration::from_secs(6);
-/// What the machine may hold up between a send and its being seen here. The grace is over by far less than the
-/// second and more that a fault not mended costs.
-const BUSY: Duration = Duration::from_millis(400);
+/// Grace period of examples/proxy.json (500 ms) plus the slack of PROTOCOL (50 ms).
+const GRACE_PERIOD: Duration = Duration::from_millis(500 + 50);
+/// FLEET: an update missed by a silent watch counts as delivered this long after the watch fell silent.
+const SILENCE_LIMIT: Duration = Duration::from_secs(6);
+/// Delay allowed between a send and its arrival here on a busy machine. It is well below the second or more by which
+/// sends are late when a fault is not recovered from.
+const ARRIVAL_SLACK: Duration = Duration::from_millis(400);
 
-/// An upstream in this process that notes when each request's first bytes came.
+/// An upstream in this process that records when the first bytes of each request arrived.
 struct Upstream {
     id: String,
     address: SocketAddr,
-    seen: Arc<Mutex<Vec<Instant>>>,
+    arrivals: Arc<Mutex<Vec<Instant>>>,
 }
 
 impl Upstream {
     fn start(id: String) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let noted = seen.clone();
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
+        let address = listener.local_addr().expect("local address");
+        let arrivals = Arc::new(Mutex::new(Vec::new()));
+        let recorded = arrivals.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let noted = noted.clone();
-                thread::spawn(move || serve(stream, &noted));
+                let recorded = recorded.clone();
+                thread::spawn(move || serve(stream, &recorded));
             }
         });
-        Self { id, address, seen }
+        Self { id, address, arrivals }
     }
 
     fn last(&self) -> Option<Instant> {
-        self.seen.lock().expect("a list").last().copied()
+        self.arrivals.lock().expect("poisoned lock").last().copied()
     }
 }
 
-fn serve(mut stream: TcpStream, seen: &Mutex<Vec<Instant>>) {
+fn serve(mut stream: TcpStream, arrivals: &Mutex<Vec<Instant>>) {
     let (mut head, mut piece) = (Vec::new(), [0; 2048]);
     while let Ok(n @ 1..) = stream.read(&mut piece) {
         if head.is_empty() {
-            seen.lock().expect("a list").push(Instant::now());
+            arrivals.lock().expect("poisoned lock").push(Instant::now());
         }
         head.extend_from_slice(&piece[..n]);
         if head.ends_with(b"\r\n\r\n") {
@@ -68,65 +68,71 @@
     }
 }
 
-/// Stands between the proxies and the list service.
+/// Forwards connections between the proxies and the list service, and injects faults.
 struct Relay {
     address: SocketAddr,
-    cuts: Arc<AtomicBool>,
+    cut_next: Arc<AtomicBool>,
     open: Arc<Mutex<Vec<TcpStream>>>,
-    /// Connections before this one are held.
-    held: Arc<AtomicUsize>,
+    /// Data from the list service is discarded on connections up to this number.
+    frozen_up_to: Arc<AtomicUsize>,
 }
 
 impl Relay {
     fn start(to: SocketAddr) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
+        let address = listener.local_addr().expect("local address");
         let (cut, open) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
-        let held = Arc::new(AtomicUsize::new(0));
-        let (cuts, kept, holds) = (cut.clone(), open.clone(), held.clone());
+        let frozen_up_to = Arc::new(AtomicUsize::new(0));
+        let (cut_next, connections, frozen) = (cut.clone(), open.clone(), frozen_up_to.clone());
         thread::spawn(move || {
-            for near in listener.incoming().map_while(Result::ok) {
-                let Ok(far) = TcpStream::connect(to) else { continue };
-                let twice = |s: &TcpStream| s.try_clone().expect("a second handle");
-                let mut kept = kept.lock().expect("a list");
-                kept.push(twice(&near));
-                let (from, to, number) = (twice(&near), twice(&far), kept.len());
-                thread::spawn(move || carry(from, to, || false, &AtomicBool::new(false)));
-                let (cuts, holds) = (cuts.clone(), holds.clone());
-                let held = move || number <= holds.load(Ordering::SeqCst);
-                thread::spawn(move || carry(far, near, held, &cuts));
+            for proxy_side in listener.incoming().map_while(Result::ok) {
+                let Ok(list_side) = TcpStream::connect(to) else { continue };
+                let duplicate = |s: &TcpStream| s.try_clone().expect("clone stream");
+                let mut connections = connections.lock().expect("poisoned lock");
+                connections.push(duplicate(&proxy_side));
+                let (from, to, number) =
+                    (duplicate(&proxy_side), duplicate(&list_side), connections.len());
+                thread::spawn(move || forward(from, to, || false, &AtomicBool::new(false)));
+                let (cut_next, frozen) = (cut_next.clone(), frozen.clone());
+                let is_frozen = move || number <= frozen.load(Ordering::SeqCst);
+                thread::spawn(move || forward(list_side, proxy_side, is_frozen, &cut_next));
             }
         });
-        Self { address, cuts: cut, open, held }
+        Self { address, cut_next: cut, open, frozen_up_to }
     }
 
-    /// Ends the watches that are open now.
+    /// Closes the watches that are open now.
     fn reset(&self) {
-        for stream in self.open.lock().expect("a list").iter() {
+        for stream in self.open.lock().expect("poisoned lock").iter() {
             let _ = stream.shutdown(std::net::Shutdown::Both);
         }
     }
 
-    /// Holds what they are told.
+    /// Discards all further data sent to the watches that are open now.
     fn freeze(&self) {
-        self.held.store(self.open.lock().expect("a list").len(), Ordering::SeqCst);
+        self.frozen_up_to.store(self.open.lock().expect("poisoned lock").len(), Ordering::SeqCst);
     }
 
-    /// Cuts the next list that is told in its middle.
+    /// Closes a watch in the middle of the next list sent.
     fn cut(&self) {
-        self.cuts.store(true, Ordering::SeqCst);
+        self.cut_next.store(true, Ordering::SeqCst);
     }
 }
 
-/// Carries bytes until an end closes.
-fn carry(mut from: TcpStream, mut to: TcpStream, held: impl Fn() -> bool, cuts: &AtomicBool) {
+/// Forwards bytes until one end closes.
+fn forward(
+    mut from: TcpStream,
+    mut to: TcpStream,
+    is_frozen: impl Fn() -> bool,
+    cut_next: &AtomicBool,
+) {
     let mut piece = [0; 4096];
     while let Ok(n @ 1..) = from.read(&mut piece) {
-        if held() {
+        if is_frozen() {
             continue;
         }
-        // A heartbeat is six bytes.
-        if n > 60 && cuts.swap(false, Ordering::SeqCst) {
+        // A heartbeat is 6 bytes, so a longer piece belongs to a list.
+        if n > 60 && cut_next.swap(false, Ordering::SeqCst) {
             let _ = to.write_all(&piece[..n / 2]);
             break;
         }
@@ -137,7 +143,7 @@
     let _ = to.shutdown(std::net::Shutdown::Both);
 }
 
-/// Clients that ask until they are stopped.
+/// Clients that send requests until they are stopped.
 struct Load {
     stop: Arc<AtomicBool>,
     lost: Arc<AtomicUsize>,
@@ -146,7 +152,7 @@
 }
 
 impl Load {
-    fn on(proxies: &[SocketAddr]) -> Self {
+    fn start(proxies: &[SocketAddr]) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let [lost, served] = [(); 2].map(|()| Arc::new(AtomicUsize::new(0)));
         let clients = proxies.iter().flat_map(|at| [*at; 4]).map(|at| {
@@ -166,15 +172,15 @@
         Self { stop, lost, served, clients }
     }
 
-    fn end(self) {
+    fn stop_and_check(self) {
         self.stop.store(true, Ordering::Relaxed);
-        self.clients.into_iter().for_each(|c| c.join().expect("a client"));
+        self.clients.into_iter().for_each(|c| c.join().expect("client thread panicked"));
         assert_eq!(self.lost.load(Ordering::Relaxed), 0, "requests without a final answer");
         assert!(self.served.load(Ordering::Relaxed) > 100);
     }
 }
 
-struct World {
+struct Setup {
     fleet: Fleet,
     cluster: Cluster,
     relay: Relay,
@@ -184,14 +190,15 @@
 }
 
 fn proxy_config(discovery: SocketAddr) -> Value {
-    let text = std::fs::read_to_string("examples/proxy.json").expect("an example");
+    let text = std::fs::read_to_string("examples/proxy.json").expect("read examples/proxy.json");
     let mut config: Value = serde_json::from_str(&text).expect("JSON");
     config["discovery"] = json!(discovery.to_string());
     config
 }
 
-impl World {
-    /// `instances` of the list service, six upstreams, and two proxies that watch through a relay to the first.
+impl Setup {
+    /// Starts `instances` of the list service, six upstreams, and two proxies that watch the first instance through a
+    /// relay.
     fn start(instances: usize) -> Self {
         let mut fleet = Fleet::default();
         let cluster = Cluster::start(&mut fleet, instances, "");
@@ -211,137 +218,161 @@
         Self { fleet, cluster, relay, upstreams, proxies, config }
     }
 
-    /// Under load: `fault`, then after `pause` half of the upstreams drain. What `told` makes of the two moments is
-    /// when that counts as told.
-    fn drains(
+    /// Runs `fault` under load and, after `pause`, drains half of the upstreams. `notified_at` gets the times of the
+    /// fault and of the drain, and returns when the drain counts as delivered to the proxies.
+    fn check_drain(
         mut self,
         fault: impl FnOnce(&mut Self),
         pause: Duration,
-        told: impl FnOnce(Instant, Instant) -> Instant,
+        notified_at: impl FnOnce(Instant, Instant) -> Instant,
     ) {
         let at: Vec<_> = self.proxies.iter().map(|p| self.fleet.address(*p)).collect();
-        let load = Load::on(&at);
-        let busiest = |w: &mut Self| {
-            w.upstreams.sort_by_key(|u| std::cmp::Reverse(u.seen.lock().expect("a list").len()));
+        let load = Load::start(&at);
+        let sort_by_load = |w: &mut Self| {
+            w.upstreams.sort_by_key(|u| {
+                std::cmp::Reverse(u.arrivals.lock().expect("poisoned lock").len())
+            });
             w.upstreams[2].last().is_some()
         };
-        until("some upstreams are used", SOON, || busiest(&mut self));
-        let faulted = Instant::now();
+        until("three upstreams have received requests", SOON, || sort_by_load(&mut self));
+        let fault_time = Instant::now();
         fault(&mut self);
         thread::sleep(pause);
         for upstream in &self.upstreams[..3] {
             let body = format!("{{\"id\":\"{}\",\"phase\":\"DRAINING\"}}", upstream.id);
             assert_eq!(self.cluster.write("/admin/members/phase", &body).0, 200);
         }
-        let by = told(faulted, Instant::now()) + GRACE;
-        thread::sleep(by.saturating_duration_since(Instant::now()) + Duration::from_secs(2));
-        load.end();
+        let grace_end = notified_at(fault_time, Instant::now()) + GRACE_PERIOD;
+        thread::sleep(grace_end.saturating_duration_since(Instant::now()) + Duration::from_secs(2));
+        load.stop_and_check();
         for upstream in &self.upstreams[..3] {
-            let last = upstream.last().expect("it was used");
-            let late = last.saturating_duration_since(by);
-            assert!(late <= BUSY, "{}: a send {late:?} after the grace", upstream.id);
+            let last = upstream.last().expect("the upstream received no request");
+            let late = last.saturating_duration_since(grace_end);
+            assert!(
+                late <= ARRIVAL_SLACK,
+                "{}: a send {late:?} after the end of the grace period",
+                upstream.id
+            );
         }
-        assert!(self.upstreams[3..].iter().any(|u| u.last() > Some(by)), "the others serve on");
+        assert!(
+            self.upstreams[3..].iter().any(|u| u.last() > Some(grace_end)),
+            "no other upstream was used after the drain"
+        );
     }
 }
 
 #[test]
-fn a_frozen_watch_keeps_no_drained_upstream_open() {
-    World::start(1).drains(|w| w.relay.freeze(), Duration::from_secs(1), |f, _| f + SILENT);
+fn drain_ends_sends_when_the_watch_is_frozen() {
+    Setup::start(1).check_drain(
+        |w| w.relay.freeze(),
+        Duration::from_secs(1),
+        |f, _| f + SILENCE_LIMIT,
+    );
 }
 
 #[test]
-fn an_instance_that_is_stopped_keeps_no_drained_upstream_open() {
-    let stop = |w: &mut World| {
+fn drain_ends_sends_when_a_list_instance_is_paused() {
+    let stop = |w: &mut Setup| {
         w.fleet.pause(w.cluster.at[0]);
         w.cluster.leader(Some(0));
     };
-    World::start(3).drains(stop, Duration::ZERO, |f, _| f + SILENT);
+    Setup::start(3).check_drain(stop, Duration::ZERO, |f, _| f + SILENCE_LIMIT);
 }
 
 #[test]
-fn a_watch_that_is_reset_keeps_no_drained_upstream_open() {
-    World::start(1).drains(|w| w.relay.reset(), Duration::ZERO, |_, drained| drained);
+fn drain_ends_sends_when_the_watch_is_reset() {
+    Setup::start(1).check_drain(|w| w.relay.reset(), Duration::ZERO, |_, drained| drained);
 }
 
 #[test]
-fn a_watch_that_is_cut_in_the_middle_of_an_object_keeps_no_drained_upstream_open() {
-    World::start(1).drains(|w| w.relay.cut(), Duration::ZERO, |_, drained| drained);
+fn drain_ends_sends_when_the_watch_is_cut_inside_an_object() {
+    Setup::start(1).check_drain(|w| w.relay.cut(), Duration::ZERO, |_, drained| drained);
 }
 
 #[test]
-fn a_discovery_that_has_moved_keeps_no_drained_upstream_open() {
-    let moved = |w: &mut World| {
+fn drain_ends_sends_when_discovery_moves() {
+    let moved = |w: &mut Setup| {
         w.relay.freeze();
         let text = proxy_config(w.cluster.lists[0]).to_string();
-        std::fs::write(&w.config, text).expect("a temporary file");
+        std::fs::write(&w.config, text).expect("write configuration file");
         w.proxies.iter().for_each(|p| w.fleet.hang_up(*p));
     };
-    World::start(1).drains(moved, Duration::from_millis(200), |_, drained| drained);
+    Setup::start(1).check_drain(moved, Duration::from_millis(200), |_, drained| drained);
 }
 
-/// The members of a fleet, all at one address, for a list service's file.
-fn seeds(n: usize, at: SocketAddr) -> String {
-    let seed = |i| {
+/// Members of a fleet, all at one address, in the format of a list service's configuration file.
+fn member_entries(n: usize, at: SocketAddr) -> String {
+    let entry = |i| {
         format!(
             "[[members]]\nid = \"m-{i}\"\nhost_port = \"{at}\"\nlocality = \"a\"\nphase = \"SERVING\"\n"
         )
     };
-    (0..n).map(seed).collect()
+    (0..n).map(entry).collect()
 }
 
-/// A figure of `/proc/PID/status`, in kB.
+/// Reads a value of `/proc/PID/status`, in kB.
 fn status_kb(fleet: &Fleet, i: usize, key: &str) -> u64 {
     let path = format!("/proc/{}/status", fleet.processes[i].pid());
-    let status = std::fs::read_to_string(path).expect("it runs");
-    let line = status.lines().find_map(|l| l.strip_prefix(key)).expect("a figure");
-    line.split_whitespace().next().and_then(|n| n.parse().ok()).expect("a number")
+    let status = std::fs::read_to_string(path).expect("the process is not running");
+    let line = status.lines().find_map(|l| l.strip_prefix(key)).expect("no such key");
+    line.split_whitespace().next().and_then(|n| n.parse().ok()).expect("not a number")
 }
 
-const MANY: usize = 1024;
+const FLEET_SIZE: usize = 1024;
 
 #[test]
-fn one_instance_holds_a_thousand_watches_and_members() {
-    // Both ends of each watch are descriptors: this process's and the instance's.
-    assert!(hollowpaddle::calls::raise_descriptor_limit() > MANY + 100, "too few descriptors here");
+fn one_instance_serves_1024_watches_and_members() {
+    // Each watch takes one descriptor in this process and one in the instance.
+    assert!(
+        hollowpaddle::calls::raise_descriptor_limit() > FLEET_SIZE + 100,
+        "descriptor limit too low"
+    );
     let mut fleet = Fleet::default();
-    let cluster = Cluster::start(&mut fleet, 1, &seeds(MANY, free()));
-    let held = look(cluster.calls[0], "/admin/stats")["revision"].as_u64().expect("a revision");
-    let mut watches: Vec<_> = (0..MANY).map(|_| Watch::open(cluster.lists[0], held)).collect();
-    until("all watch", SOON, || look(cluster.calls[0], "/admin/stats")["watches"] == MANY);
+    let cluster = Cluster::start(&mut fleet, 1, &member_entries(FLEET_SIZE, free()));
+    let revision =
+        look(cluster.calls[0], "/admin/stats")["revision"].as_u64().expect("no revision");
+    let mut watches: Vec<_> =
+        (0..FLEET_SIZE).map(|_| Watch::open(cluster.lists[0], revision)).collect();
+    until("all watches are open", SOON, || {
+        look(cluster.calls[0], "/admin/stats")["watches"] == FLEET_SIZE
+    });
     let changed = cluster.register("new", free());
     for watch in &mut watches {
-        assert_eq!(watch.next(SOON).expect("the change")["revision"], changed);
+        assert_eq!(watch.next(SOON).expect("no update")["revision"], changed);
     }
-    let mut whole = Watch::open(cluster.lists[0], 0);
-    let list = whole.next(SOON).expect("the whole list");
-    assert_eq!(list["members"].as_array().map(Vec::len), Some(MANY + 1));
+    let mut full_watch = Watch::open(cluster.lists[0], 0);
+    let list = full_watch.next(SOON).expect("no full list");
+    assert_eq!(list["members"].as_array().map(Vec::len), Some(FLEET_SIZE + 1));
     let rss = status_kb(&fleet, cluster.at[0], "VmRSS:");
     assert!(rss < 96 << 10, "{rss} kB");
 }
 
 #[test]
-fn a_proxy_follows_a_thousand_members_within_its_limits() {
+fn proxy_follows_1024_members_within_its_limits() {
     let mut fleet = Fleet::default();
     let upstream = Upstream::start("all".into());
-    let cluster = Cluster::start(&mut fleet, 1, &seeds(MANY, upstream.address));
+    let cluster = Cluster::start(&mut fleet, 1, &member_entries(FLEET_SIZE, upstream.address));
     let config = fleet.file("proxy.json", &proxy_config(cluster.lists[0]).to_string());
     let config = ("LB_CONFIG", config.to_str().expect("UTF-8"));
     let (proxy, calls) = fleet.proxy("p", &cluster.lists[0].to_string(), &[config]);
     fleet.ready(proxy);
-    until("it has them all", SOON, || look(calls, "/admin/stats")["pool_size"] == MANY);
-    let load = Load::on(&[fleet.address(proxy); 8]);
-    // A whole list again, changes one by one, and the load meanwhile.
+    until("the proxy has all members", SOON, || {
+        look(calls, "/admin/stats")["pool_size"] == FLEET_SIZE
+    });
+    let load = Load::start(&[fleet.address(proxy); 8]);
+    // Under load, the proxy gets single updates and then, after a reload, the full list again.
     for i in 0..64 {
         let body = format!("{{\"id\":\"m-{i}\"}}");
         assert_eq!(cluster.write("/admin/members/leave", &body).0, 200);
     }
     fleet.hang_up(proxy);
-    until("it has the changes", SOON, || look(calls, "/admin/stats")["pool_size"] == MANY - 64);
+    until("the proxy has the changes", SOON, || {
+        look(calls, "/admin/stats")["pool_size"] == FLEET_SIZE - 64
+    });
     thread::sleep(Duration::from_secs(1));
-    load.end();
+    load.stop_and_check();
     let open = std::fs::read_dir(format!("/proc/{}/fd", fleet.processes[proxy].pid()));
-    assert!(open.expect("it runs").count() <= 256);
+    assert!(open.expect("the process is not running").count() <= 256);
     let peak = status_kb(&fleet, proxy, "VmHWM:");
-    assert!(peak < 32 << 10, "{peak} kB, and 32 MB are its limit");
+    assert!(peak < 32 << 10, "peak of {peak} kB; the limit is 32 MB");
 }
