--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Several processes of the program on loopback, each role started as an operator would.
+//! Runs several processes of the program on loopback, with each role started as an operator would start it.
 
 #[allow(dead_code)] // Each test file uses part of the harness.
 mod harness;
@@ -20,9 +20,9 @@
     )
 }
 
-/// A stand-in upstream, a list service that lists it, and `proxies` proxies on that list; the indices of the
-/// list service and of the proxies.
-fn serving(fleet: &mut Fleet, proxies: usize) -> (usize, Vec<usize>) {
+/// Starts a stand-in upstream, a list service that lists it, and `proxies` proxies that use this list. Returns the
+/// indices of the list service and of the proxies.
+fn start_serving(fleet: &mut Fleet, proxies: usize) -> (usize, Vec<usize>) {
     let upstream = fleet.start("s-1", &["stand-in", "--name", "s-1"], &[]);
     let list = fleet.file(&format!("list-{proxies}.toml"), &list_file(fleet.address(upstream), ""));
     let list = fleet.start("list", &["discovery", "--config", list.to_str().expect("UTF-8")], &[]);
@@ -32,22 +32,22 @@
 
 #[test]
 fn five_processes_start_serve_and_stop_within_five_seconds() {
-    let from = Instant::now();
+    let start = Instant::now();
     let mut fleet = Fleet::default();
-    let (_, proxies) = serving(&mut fleet, 3);
+    let (_, proxies) = start_serving(&mut fleet, 3);
     for &proxy in &proxies {
         fleet.ready(proxy);
         let answer = get(fleet.address(proxy), "/api/stock", &ASK);
         assert_eq!(answer, Some((200, "s-1\n".to_owned())), "through {proxy}");
     }
     drop(fleet);
-    assert!(from.elapsed() < Duration::from_secs(5), "took {:?}", from.elapsed());
+    assert!(start.elapsed() < Duration::from_secs(5), "took {:?}", start.elapsed());
 }
 
 #[test]
-fn a_proxy_serves_from_its_last_list_while_the_list_service_is_stopped() {
+fn proxy_serves_from_its_last_list_without_a_list_service() {
     let mut fleet = Fleet::default();
-    let (list, proxies) = serving(&mut fleet, 1);
+    let (list, proxies) = start_serving(&mut fleet, 1);
     let proxy = proxies[0];
     fleet.ready(proxy);
     fleet.pause(list);
@@ -58,18 +58,19 @@
 }
 
 #[test]
-fn the_list_service_answers_lists_watches_and_bad_requests() {
+fn list_service_answers_lists_watches_and_bad_requests() {
     let mut fleet = Fleet::default();
-    let file = fleet.file("list.toml", &list_file("127.0.0.1:9".parse().expect("address"), ""));
+    let file =
+        fleet.file("list.toml", &list_file("127.0.0.1:9".parse().expect("valid address"), ""));
     let list = fleet.start("list", &["discovery", "--config", file.to_str().expect("UTF-8")], &[]);
     let at = fleet.address(list);
-    let (status, whole) = get(at, "/api/targets", &[]).expect("an answer");
+    let (status, body) = get(at, "/api/targets", &[]).expect("no answer");
     assert_eq!(status, 200);
-    assert!(whole.starts_with("{\"revision\":41,\"complete\":true,"), "{whole}");
-    // Older than the history (or from nowhere): the whole list, complete.
-    let told = Watch::open(at, 3).next(SOON).expect("told");
-    assert_eq!((&told["revision"], &told["complete"]), (&json!(41), &json!(true)));
-    // Current, or ahead of what this instance has: nothing but heartbeats until there is more.
+    assert!(body.starts_with("{\"revision\":41,\"complete\":true,"), "{body}");
+    // A watch from a revision older than the history, or from none, gets the full list, marked complete.
+    let update = Watch::open(at, 3).next(SOON).expect("no list update");
+    assert_eq!((&update["revision"], &update["complete"]), (&json!(41), &json!(true)));
+    // A watch from the current revision, or from one ahead of this instance, gets only heartbeats until an update.
     for index in [41, 99] {
         assert_eq!(Watch::open(at, index).next(Duration::from_millis(300)), None);
     }
@@ -81,21 +82,27 @@
         assert_eq!(get(at, path, &[]).map(|a| a.0), Some(status), "{path}");
     }
     let big = format!("Content-Length: {}", 70 << 10);
-    let mut stream = TcpStream::connect(at).expect("it accepts");
+    let mut stream = TcpStream::connect(at).expect("connect");
     let head = format!("POST /api/targets HTTP/1.1\r\nHost: a\r\n{big}\r\n\r\n");
-    stream.write_all(head.as_bytes()).expect("sent");
+    stream.write_all(head.as_bytes()).expect("send request");
     let _ = stream.write_all(&vec![b'x'; 70 << 10]);
     let mut answer = [0; 12];
     let _ = stream.read_exact(&mut answer);
     assert_eq!(&answer, b"HTTP/1.1 413");
-    assert_eq!(get(at, "/-/ready", &[]).map(|a| a.0), Some(200), "alive after all that");
+    assert_eq!(
+        get(at, "/-/ready", &[]).map(|a| a.0),
+        Some(200),
+        "the list service must still answer"
+    );
 }
 
 #[test]
-fn each_role_refuses_a_bad_file_by_its_key_with_exit_code_2() {
+fn each_role_names_the_bad_key_and_exits_with_code_2() {
     let mut fleet = Fleet::default();
-    let list = fleet
-        .file("bad-list.toml", &list_file("127.0.0.1:9".parse().expect("address"), "beat = 1"));
+    let list = fleet.file(
+        "bad-list.toml",
+        &list_file("127.0.0.1:9".parse().expect("valid address"), "beat = 1"),
+    );
     let plan = fleet.file(
         "bad-plan.toml",
         "name = \"r\"\nmanagement = \"127.0.0.1:0\"\nstate_dir = \"x\"\nstages = [50, 10, 100]\n",
@@ -114,34 +121,37 @@
         (&["check", "--role", "proxy", "--config", proxy], "`settings"),
     ];
     for (args, key) in runs {
-        let output =
-            Command::new(PROGRAM).args(args).env("LB_CONFIG", proxy).output().expect("it runs");
-        let said = String::from_utf8_lossy(&output.stderr);
-        assert_eq!(output.status.code(), Some(2), "{args:?}: {said}");
-        assert!(said.contains(key) && !said.contains("panicked"), "{args:?}: {said}");
+        let output = Command::new(PROGRAM)
+            .args(args)
+            .env("LB_CONFIG", proxy)
+            .output()
+            .expect("run the program");
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{args:?}: {stderr}");
+        assert!(stderr.contains(key) && !stderr.contains("panicked"), "{args:?}: {stderr}");
     }
     let good = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/release.toml");
     let output = Command::new(PROGRAM).args(["check", "--role", "release", "-c", good]).output();
-    assert_eq!(output.expect("it runs").status.code(), Some(0));
-    let help = Command::new(PROGRAM).arg("--help").output().expect("it runs");
+    assert_eq!(output.expect("run the program").status.code(), Some(0));
+    let help = Command::new(PROGRAM).arg("--help").output().expect("run the program");
     let help = String::from_utf8_lossy(&help.stdout);
     for role in ["proxy", "discovery", "release", "sweep", "check", "stand-in"] {
         assert!(help.contains(&format!("  {role} ")), "{role} in {help}");
     }
 }
 
-/// A log line in JSON that holds this text.
+/// Waits for a JSON log line that contains `what`.
 fn json_line(fleet: &Fleet, i: usize, what: &str) -> serde_json::Value {
     let mut line = None;
     until(what, SOON, || {
         line = fleet.line(i, what);
         line.is_some()
     });
-    serde_json::from_str(&line.expect("found")).expect("one JSON object a line")
+    serde_json::from_str(&line.expect("no such line")).expect("log line is not a JSON object")
 }
 
 #[test]
-fn json_log_lines_name_process_role_and_the_request_or_lease_they_are_about() {
+fn json_log_lines_name_process_role_and_request_or_lease() {
     let mut fleet = Fleet::default();
     let cluster = Cluster::start(&mut fleet, 1, "");
     let json = [("LB_LOG_FORMAT", "json")];
@@ -159,11 +169,11 @@
     cluster.register("s-1", fleet.address(upstream));
     let (proxy, _) = fleet.proxy("p", &cluster.lists[0].to_string(), &json);
     fleet.ready(proxy);
-    let mut stream = TcpStream::connect(fleet.address(proxy)).expect("it accepts");
+    let mut stream = TcpStream::connect(fleet.address(proxy)).expect("connect");
     let head = "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: cut-short\r\nX-Class: alarm\r\n\
                 X-Deadline-Ms: 2000\r\nContent-Length: 10\r\n\r\nabc";
-    stream.write_all(head.as_bytes()).expect("sent");
-    stream.shutdown(std::net::Shutdown::Write).expect("shut");
+    stream.write_all(head.as_bytes()).expect("send request");
+    stream.shutdown(std::net::Shutdown::Write).expect("shut down the write side");
     let line = json_line(&fleet, proxy, "the body of a request");
     assert_eq!((&line["request"], &line["span"]["role"]), (&json!("cut-short"), &json!("proxy")));
 }
