--- a/tests/routed/mod.rs
+++ b/tests/routed/mod.rs
@@ -1,5 +1,5 @@
-//! Several services behind one proxy: routes by host and path prefix, each service with its own upstreams, classes
-//! and queue, and services that come and go with SIGHUP.
+//! Tests several services behind one proxy: routes by host and path prefix, each service with its own upstreams,
+//! classes and queue, and services that are added and removed on SIGHUP.
 
 use std::process::Command;
 use std::sync::mpsc::channel;
@@ -11,8 +11,8 @@
 
 use crate::stubs::*;
 
-/// A member of this service.
-fn of(service: &str, id: &str, upstream: &Upstream) -> Value {
+/// Creates a serving list member that belongs to `service`.
+fn service_member(service: &str, id: &str, upstream: &Upstream) -> Value {
     let mut entry = member(id, upstream.address, "SERVING");
     entry["service"] = json!(service);
     entry
@@ -26,44 +26,44 @@
     json!({"host": host, "prefix": prefix, "service": service})
 }
 
-fn routed(known: Vec<Value>, services: &[Value], routes: &[Value]) -> Value {
+fn routed_config(known: Vec<Value>, services: &[Value], routes: &[Value]) -> Value {
     let mut config = config(known);
     config["services"] = json!(services);
     config["routes"] = json!(routes);
     config
 }
 
-/// A request that is safe to repeat, to this host and path.
-fn get(host: &str, path: &str, class: &str) -> String {
+/// Builds a retryable request to this host and path.
+fn get_request(host: &str, path: &str, class: &str) -> String {
     format!(
         "GET {path} HTTP/1.1\r\nHost: {host}\r\nX-Request-Id: r\r\nX-Class: {class}\r\n\
          X-Deadline-Ms: 5000\r\n\r\n"
     )
 }
 
-/// An upstream that answers each request once it is told to.
-fn waits() -> (std::sync::mpsc::Sender<()>, Upstream) {
-    let (go, told) = channel();
-    let told = Arc::new(Mutex::new(told));
-    (go, Upstream::start(move |_| Does::Waits(told.clone())))
+/// Starts an upstream that answers one request for each message on the returned channel.
+fn start_waiting_upstream() -> (std::sync::mpsc::Sender<()>, Upstream) {
+    let (release, released) = channel();
+    let released = Arc::new(Mutex::new(released));
+    (release, Upstream::start(move |_| Does::Waits(released.clone())))
 }
 
 #[test]
-fn requests_go_to_the_upstreams_of_the_service_that_their_route_names() {
+fn requests_reach_the_service_named_by_their_route() {
     let [orders, stock] = ["orders", "stock"].map(|name| Upstream::start(move |_| ok(name)));
-    let stranger = Upstream::start(|_| ok("stranger"));
+    let unrelated = Upstream::start(|_| ok("stranger"));
     let known = vec![
-        of("orders", "s-1", &orders),
-        of("stock", "s-2", &stock),
-        of("other", "s-3", &stranger),
-        member("s-4", stranger.address, "SERVING"),
+        service_member("orders", "s-1", &orders),
+        service_member("stock", "s-2", &stock),
+        service_member("other", "s-3", &unrelated),
+        member("s-4", unrelated.address, "SERVING"),
     ];
     let routes = [
         route("shop.example", "/v1", "orders"),
         route("shop.example", "/v1/stock", "stock"),
         route("*.stock.example", "", "stock"),
     ];
-    let node = Node::start(&routed(known, &[service("orders"), service("stock")], &routes));
+    let node = Node::start(&routed_config(known, &[service("orders"), service("stock")], &routes));
     let expect = [
         ("shop.example", "/v1", "orders"),
         ("SHOP.example:8080", "/v1/x?y=/v1/stock", "orders"),
@@ -73,7 +73,7 @@
     ];
     let mut client = node.client();
     for (host, path, body) in expect.iter().cycle().take(20) {
-        let answer = client.ask(&get(host, path, "read"));
+        let answer = client.ask(&get_request(host, path, "read"));
         assert_eq!(
             (answer.status(), answer.body.as_slice()),
             (200, body.as_bytes()),
@@ -82,121 +82,142 @@
     }
     for (host, path) in [("shop.example", "/v2"), ("stock.example", "/"), ("shop.example", "/api")]
     {
-        let answer = client.ask(&get(host, path, "read"));
+        let answer = client.ask(&get_request(host, path, "read"));
         let text = String::from_utf8_lossy(&answer.body);
         assert_eq!(answer.status(), 404, "{host}{path}");
         assert!(text.contains("no route") && text.contains(host) && text.contains(path), "{text}");
     }
-    // The target's host goes before the header's.
-    let absolute = get("other.example", "http://shop.example/v1/stock", "read");
+    // The host of an absolute-form target takes precedence over the Host header.
+    let absolute = get_request("other.example", "http://shop.example/v1/stock", "read");
     assert_eq!(client.ask(&absolute).body, b"stock");
-    assert_eq!(stranger.requests_so_far(), 0, "an upstream of no service here");
+    assert_eq!(
+        unrelated.requests_so_far(),
+        0,
+        "an upstream of no configured service got a request"
+    );
 }
 
 #[test]
-fn a_service_without_upstreams_refuses_in_time_and_holds_up_no_other() {
+fn service_without_upstreams_refuses_and_delays_no_other() {
     let orders = Upstream::start(|_| ok("orders"));
-    let known = vec![of("orders", "s-1", &orders)];
+    let known = vec![service_member("orders", "s-1", &orders)];
     let routes = [route("", "/orders", "orders"), route("", "/empty", "empty")];
-    let node = Node::start(&routed(known, &[service("orders"), service("empty")], &routes));
+    let node = Node::start(&routed_config(known, &[service("orders"), service("empty")], &routes));
     let mut waiting = node.client();
-    waiting.send(&get("a", "/empty", "read"));
+    waiting.send(&get_request("a", "/empty", "read"));
     let mut client = node.client();
     for _ in 0..20 {
-        assert_eq!(client.ask(&get("a", "/orders", "read")).status(), 200);
+        assert_eq!(client.ask(&get_request("a", "/orders", "read")).status(), 200);
     }
-    let answer = waiting.answer().expect("an answer");
-    assert_eq!(answer.status(), 503, "refused: trying again is harmless");
+    let answer = waiting.answer().expect("no answer");
+    assert_eq!(answer.status(), 503, "must be refused as safe to retry");
 }
 
 #[test]
 fn each_service_has_its_own_classes_and_tenants() {
     let [orders, stock] = ["orders", "stock"].map(|name| Upstream::start(move |_| ok(name)));
-    let known = vec![of("orders", "s-1", &orders), of("stock", "s-2", &stock)];
+    let known =
+        vec![service_member("orders", "s-1", &orders), service_member("stock", "s-2", &stock)];
     let own = json!({
         "Services": [{"Name": "check", "Aim": 2000.0, "Deadline": 6000.0, "Effect": "retryable"}],
         "Tenants": [{"Name": "t-1", "QuotaRps": 100.0, "Share": 1.0}],
     });
     let services = [service("orders"), json!({"name": "stock", "settings": own})];
     let routes = [route("", "/orders", "orders"), route("", "/stock", "stock")];
-    let node = Node::start(&routed(known, &services, &routes));
+    let node = Node::start(&routed_config(known, &services, &routes));
     let mut client = node.client();
-    assert_eq!(client.ask(&get("a", "/orders", "read")).status(), 200);
-    assert_eq!(client.ask(&get("a", "/orders", "check")).status(), 400);
-    assert_eq!(client.ask(&get("a", "/stock", "read")).status(), 400);
-    assert_eq!(client.ask(&get("a", "/stock", "check")).status(), 400, "it names no tenant");
-    let of_tenant = get("a", "/stock", "check").replace("X-Class", "X-Tenant: t-1\r\nX-Class");
+    assert_eq!(client.ask(&get_request("a", "/orders", "read")).status(), 200);
+    assert_eq!(client.ask(&get_request("a", "/orders", "check")).status(), 400);
+    assert_eq!(client.ask(&get_request("a", "/stock", "read")).status(), 400);
+    assert_eq!(
+        client.ask(&get_request("a", "/stock", "check")).status(),
+        400,
+        "the request names no tenant"
+    );
+    let of_tenant =
+        get_request("a", "/stock", "check").replace("X-Class", "X-Tenant: t-1\r\nX-Class");
     assert_eq!(client.ask(&of_tenant).status(), 200);
 }
 
 #[test]
-fn a_removed_service_refuses_what_waits_and_finishes_what_is_out() {
-    let (go, orders) = waits();
+fn removed_service_refuses_queued_and_finishes_in_flight_requests() {
+    let (release, orders) = start_waiting_upstream();
     let stock = Upstream::start(|_| ok("stock"));
-    let known = vec![of("orders", "s-1", &orders), of("stock", "s-2", &stock)];
+    let known =
+        vec![service_member("orders", "s-1", &orders), service_member("stock", "s-2", &stock)];
     let both = [service("orders"), service("stock")];
     let routes = [route("", "/orders", "orders"), route("", "/stock", "stock")];
-    let node = Node::start(&routed(known.clone(), &both, &routes));
-    let mut out = node.client();
-    out.send(&get("a", "/orders", "read"));
+    let node = Node::start(&routed_config(known.clone(), &both, &routes));
+    let mut in_flight = node.client();
+    in_flight.send(&get_request("a", "/orders", "read"));
     orders.request();
     let mut waiting = node.client();
-    waiting.send(&get("a", "/orders", "read"));
+    waiting.send(&get_request("a", "/orders", "read"));
     thread::sleep(Duration::from_millis(100));
-    let mut left = routed(known, &both[1..], &routes[1..]);
-    left["discovery"] = json!(node.discovery.address.to_string());
-    node.reconfigure(&left.to_string());
-    let from = Instant::now();
+    let mut reduced = routed_config(known, &both[1..], &routes[1..]);
+    reduced["discovery"] = json!(node.discovery.address.to_string());
+    node.reconfigure(&reduced.to_string());
+    let start = Instant::now();
     node.signal("HUP");
-    assert_eq!(waiting.answer().expect("an answer").status(), 503);
-    assert!(from.elapsed() < Duration::from_secs(1), "at once, not when its time was up");
-    // Asked anew, it has no route any more; the other one is served on.
+    assert_eq!(waiting.answer().expect("no answer").status(), 503);
+    assert!(
+        start.elapsed() < Duration::from_secs(1),
+        "must be refused at once, not at its deadline"
+    );
+    // New requests to the removed service match no route; the other service is still served.
     let mut client = node.client();
-    assert_eq!(client.ask(&get("a", "/orders", "read")).status(), 404);
-    assert_eq!(client.ask(&get("a", "/stock", "read")).body, b"stock");
-    go.send(()).expect("it waits");
-    let answer = out.answer().expect("an answer");
+    assert_eq!(client.ask(&get_request("a", "/orders", "read")).status(), 404);
+    assert_eq!(client.ask(&get_request("a", "/stock", "read")).body, b"stock");
+    release.send(()).expect("the upstream is not waiting");
+    let answer = in_flight.answer().expect("no answer");
     assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"late"[..]));
-    assert_eq!(orders.requests_so_far(), 0, "nothing more was sent there");
+    assert_eq!(orders.requests_so_far(), 0, "another request was sent to the removed service");
 }
 
 #[test]
-fn a_service_that_is_added_is_served_from_the_list_that_names_its_upstreams() {
+fn added_service_is_served_once_the_list_names_its_upstreams() {
     let [orders, stock] = ["orders", "stock"].map(|name| Upstream::start(move |_| ok(name)));
-    let known = vec![of("orders", "s-1", &orders)];
+    let known = vec![service_member("orders", "s-1", &orders)];
     let both = [service("orders"), service("stock")];
     let routes = [route("", "/orders", "orders"), route("", "/stock", "stock")];
-    let node = Node::start(&routed(known.clone(), &both[..1], &routes[..1]));
-    let (asked, _watch) = node.discovery.watch();
-    assert!(asked.contains("service=orders") && !asked.contains("stock"), "{asked}");
-    let mut more = routed(known, &both, &routes);
-    more["discovery"] = json!(node.discovery.address.to_string());
-    node.reconfigure(&more.to_string());
+    let node = Node::start(&routed_config(known.clone(), &both[..1], &routes[..1]));
+    let (request_line, _watch) = node.discovery.watch();
+    assert!(
+        request_line.contains("service=orders") && !request_line.contains("stock"),
+        "{request_line}"
+    );
+    let mut extended = routed_config(known, &both, &routes);
+    extended["discovery"] = json!(node.discovery.address.to_string());
+    node.reconfigure(&extended.to_string());
     node.signal("HUP");
-    // Watches are opened anew, at last one for both services, from the start of the list.
+    // After the reload, the proxy opens new watches. The last one is for both services, from the start of the list.
     let mut watch = loop {
-        let (asked, watch) = node.discovery.watch();
-        if asked.contains("service=stock") {
-            assert!(asked.contains("service=orders") && asked.contains("index=0"), "{asked}");
+        let (request_line, watch) = node.discovery.watch();
+        if request_line.contains("service=stock") {
+            assert!(
+                request_line.contains("service=orders") && request_line.contains("index=0"),
+                "{request_line}"
+            );
             break watch;
         }
     };
-    let members = vec![of("orders", "s-1", &orders), of("stock", "s-2", &stock)];
+    let members =
+        vec![service_member("orders", "s-1", &orders), service_member("stock", "s-2", &stock)];
     let list = json!({"revision": 41, "complete": true, "members": members});
     chunk(&mut watch, &format!("{list}\n"));
     let mut client = node.client();
-    assert_eq!(client.ask(&get("a", "/stock", "read")).body, b"stock");
-    assert_eq!(client.ask(&get("a", "/orders", "read")).body, b"orders");
+    assert_eq!(client.ask(&get_request("a", "/stock", "read")).body, b"stock");
+    assert_eq!(client.ask(&get_request("a", "/orders", "read")).body, b"orders");
 }
 
 #[test]
-fn what_cannot_be_in_force_is_refused_by_its_key_and_the_old_stays() {
+fn invalid_configuration_is_refused_by_key_and_the_old_one_stays() {
     let orders = Upstream::start(|_| ok("orders"));
-    let known = vec![of("orders", "s-1", &orders)];
+    let known = vec![service_member("orders", "s-1", &orders)];
     let routes = [route("", "/orders", "orders")];
-    let sound = routed(known.clone(), &[service("orders")], &routes);
+    let valid = routed_config(known.clone(), &[service("orders")], &routes);
     let changed = |change: &dyn Fn(&mut Value)| {
-        let mut config = sound.clone();
+        let mut config = valid.clone();
         change(&mut config);
         config
     };
@@ -227,10 +248,10 @@
         ("routes", changed(&|c| c["services"] = json!(null))),
     ];
     for (key, config) in &at_start {
-        let said = refuses_to_start(&mut Command::new(NODE), &config.to_string());
-        assert!(said.contains(key), "{key}: {said}");
+        let stderr = refuses_to_start(&mut Command::new(NODE), &config.to_string());
+        assert!(stderr.contains(key), "{key}: {stderr}");
     }
-    let node = Node::start(&sound);
+    let node = Node::start(&valid);
     let reload_only = [
         changed(&|c| {
             c["services"][0]["settings"] = json!({"Services": class(9.0)});
@@ -243,7 +264,7 @@
         node.reconfigure(&config.to_string());
         node.signal("HUP");
         for _ in 0..5 {
-            assert_eq!(client.ask(&get("a", "/orders", "read")).body, b"orders");
+            assert_eq!(client.ask(&get_request("a", "/orders", "read")).body, b"orders");
             thread::sleep(Duration::from_millis(10));
         }
     }
