--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,5 +1,5 @@
-//! The route table beside a reference that looks at every route, on random tables and requests, and what a look-up
-//! costs by the count of routes.
+//! Compares the route table with a reference that scans every route, on random tables and requests, and checks that
+//! the cost of a lookup does not depend on the number of routes.
 
 use std::cell::Cell;
 
@@ -12,15 +12,15 @@
 const SEED: [u8; 32] = [28; 32];
 const SERVICES: [&str; 4] = ["zero", "one", "two", "three"];
 
-/// Runs a property on cases that are the same every time; a failure gives the seed beside the least case.
+/// Runs a property on the same cases every time. A failure reports the seed and the minimal failing case.
 fn check<S: Strategy>(strategy: &S, property: impl Fn(S::Value) -> Result<(), TestCaseError>) {
     let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &SEED);
-    let done = TestRunner::new_with_rng(config, rng).run(strategy, property);
-    done.unwrap_or_else(|e| panic!("seed {SEED:?}: {e}"));
+    let result = TestRunner::new_with_rng(config, rng).run(strategy, property);
+    result.unwrap_or_else(|e| panic!("seed {SEED:?}: {e}"));
 }
 
-/// The labels of the name in a request's authority, in lower case; a literal is one label.
+/// Splits the host of a request's authority into lower-case labels. An IP literal is one label.
 fn labels(authority: &str) -> Option<Vec<String>> {
     let authority = authority.to_ascii_lowercase();
     let (host, port) = match authority.find(']') {
@@ -43,17 +43,18 @@
     (!labels.iter().any(|l| l.is_empty() || delimiter(l))).then_some(labels)
 }
 
-/// How specific a route's host is for this request: 0 for any, then wildcards by their labels, then the exact name.
-fn host_rank(stated: &str, authority: &str) -> Option<usize> {
-    if stated.is_empty() {
+/// Specificity of a route's host for this request: 0 for any host, the number of labels for a wildcard, and the maximum
+/// for an exact name. `None` if the host does not match.
+fn host_rank(route_host: &str, authority: &str) -> Option<usize> {
+    if route_host.is_empty() {
         return Some(0);
     }
     let name = labels(authority)?;
-    match stated.strip_prefix("*.") {
-        None => (labels(stated)? == name).then_some(usize::MAX),
-        Some(behind) => {
-            let behind = labels(behind)?;
-            (name.len() > behind.len() && name.ends_with(&behind)).then_some(behind.len())
+    match route_host.strip_prefix("*.") {
+        None => (labels(route_host)? == name).then_some(usize::MAX),
+        Some(suffix) => {
+            let suffix = labels(suffix)?;
+            (name.len() > suffix.len() && name.ends_with(&suffix)).then_some(suffix.len())
         }
     }
 }
@@ -66,16 +67,16 @@
     segments
 }
 
-/// How many segments of the path the route's prefix is, if it is one.
-fn prefix_rank(stated: &str, path: &str) -> Option<usize> {
+/// Number of path segments that the route's prefix matches, or `None` if it does not match.
+fn prefix_rank(route_prefix: &str, path: &str) -> Option<usize> {
     let path = path.split('?').next().unwrap_or_default();
-    let prefix = segments(stated);
-    let whole =
+    let prefix = segments(route_prefix);
+    let matches =
         path.starts_with('/') && path[1..].split('/').collect::<Vec<_>>().starts_with(&prefix);
-    (prefix.is_empty() || whole).then_some(prefix.len())
+    (prefix.is_empty() || matches).then_some(prefix.len())
 }
 
-/// The most specific of all routes, and how specific it is.
+/// Finds the most specific matching route by scanning all routes. Returns its rank and the index of its service.
 fn reference(routes: &[Route], host: &str, path: &str) -> Option<((usize, usize), usize)> {
     let matching = routes.iter().filter_map(|route| {
         let rank = (host_rank(&route.host, host)?, prefix_rank(&route.prefix, path)?);
@@ -84,7 +85,7 @@
     matching.max_by_key(|(rank, _)| *rank)
 }
 
-/// The first route that says the same as an earlier one, and that one.
+/// Finds the first route that is equivalent to an earlier one. Returns the indices of both.
 fn duplicate(routes: &[Route]) -> Option<(usize, usize)> {
     let same = |a: &Route, b: &Route| {
         let name = |host: &str| host.to_ascii_lowercase().trim_end_matches('.').to_owned();
@@ -94,9 +95,9 @@
         .find_map(|i| (0..i).find(|j| same(&routes[i], &routes[*j])).map(|first| (i, first)))
 }
 
-fn name(most: usize) -> impl Strategy<Value = String> {
+fn name(max_labels: usize) -> impl Strategy<Value = String> {
     let label = select(&["a", "b", "A", "ab"][..]);
-    (prop::collection::vec(label, 1..=most), any::<bool>())
+    (prop::collection::vec(label, 1..=max_labels), any::<bool>())
         .prop_map(|(labels, dot)| labels.join(".") + if dot { "." } else { "" })
 }
 
@@ -104,9 +105,9 @@
     select(&["[::1]", "[::A]", "[::a]", "[::ffff:1.2.3.4]"][..]).prop_map(str::to_owned)
 }
 
-fn path(most: usize) -> impl Strategy<Value = String> {
+fn path(max_segments: usize) -> impl Strategy<Value = String> {
     let segment = select(&["a", "b", "a", "b", "A", "ab", "%61", "..", ""][..]);
-    prop::collection::vec(segment, 0..=most)
+    prop::collection::vec(segment, 0..=max_segments)
         .prop_map(|segments| segments.iter().map(|s| format!("/{s}")).collect())
 }
 
@@ -131,13 +132,13 @@
 }
 
 #[test]
-fn the_most_specific_route_is_found_as_by_looking_at_all() {
+fn most_specific_route_matches_the_linear_reference() {
     let tables = (prop::collection::vec(route(), 0..16), prop::collection::vec(request(), 1..8));
     let [none, any, wildcard, exact, less_specific, refused] = [const { Cell::new(0u32) }; 6];
-    let add = |count: &Cell<u32>| count.set(count.get() + 1);
+    let increment = |count: &Cell<u32>| count.set(count.get() + 1);
     check(&tables, |(mut routes, requests)| {
         while let Some((route, first)) = duplicate(&routes) {
-            add(&refused);
+            increment(&refused);
             let error = RouteTable::new(&routes, &SERVICES).unwrap_err();
             prop_assert_eq!(error, RouteError::Duplicate { route, first });
             routes.remove(route);
@@ -148,53 +149,53 @@
             let expected = reference(&routes, &host, &path);
             let found = table.find(&host, &path);
             prop_assert_eq!(found, expected.map(|(_, service)| service), "{:?} {:?}", host, path);
-            let most = routes.iter().filter_map(|r| host_rank(&r.host, &host)).max();
+            let best_host = routes.iter().filter_map(|r| host_rank(&r.host, &host)).max();
             match expected {
-                None => add(&none),
-                Some(((0, _), _)) => add(&any),
-                Some(((usize::MAX, _), _)) => add(&exact),
-                Some(_) => add(&wildcard),
+                None => increment(&none),
+                Some(((0, _), _)) => increment(&any),
+                Some(((usize::MAX, _), _)) => increment(&exact),
+                Some(_) => increment(&wildcard),
             }
-            if expected.is_some_and(|((rank, _), _)| Some(rank) != most) {
-                add(&less_specific);
+            if expected.is_some_and(|((rank, _), _)| Some(rank) != best_host) {
+                increment(&less_specific);
             }
         }
         Ok(())
     });
     let counts = [none, any, wildcard, exact, less_specific, refused].map(Cell::into_inner);
     println!("none, any, wildcard, exact, a less specific host, duplicates: {counts:?}");
-    assert!(counts.iter().all(|n| *n > 500), "cases of too few kinds: {counts:?}");
+    assert!(counts.iter().all(|n| *n > 500), "too few cases of some kind: {counts:?}");
 }
 
 #[test]
-fn no_text_panics_and_none_costs_more_than_its_depth() {
+fn arbitrary_text_never_panics_and_lookups_are_bounded_by_depth() {
     let text = || "[ab.*:@/?#%é\u{0} \\[\\]1A-]{0,12}";
     let host = || prop_oneof![text().boxed(), name(4).boxed(), literal().boxed()];
     let path = || prop_oneof![text().boxed(), path(5).boxed()];
     let routes = prop::collection::vec((host(), path()), 0..8);
-    let built = Cell::new(0u32);
+    let non_empty = Cell::new(0u32);
     check(&(routes, host(), path()), |(routes, host, path)| {
-        let stated = |(host, prefix)| Route { host, prefix, service: "one".into() };
-        let routes: Vec<_> = routes.into_iter().map(stated).collect();
-        // Each that is sound alone is in the table, unless an earlier one says the same.
-        let sound = |r: &Route| RouteTable::new(std::slice::from_ref(r), &SERVICES).is_ok();
-        let mut routes: Vec<_> = routes.into_iter().filter(sound).collect();
+        let to_route = |(host, prefix)| Route { host, prefix, service: "one".into() };
+        let routes: Vec<_> = routes.into_iter().map(to_route).collect();
+        // The table is built from each route that is valid by itself and not equivalent to an earlier one.
+        let valid = |r: &Route| RouteTable::new(std::slice::from_ref(r), &SERVICES).is_ok();
+        let mut routes: Vec<_> = routes.into_iter().filter(valid).collect();
         while let Some((route, _)) = duplicate(&routes) {
             routes.remove(route);
         }
         let table = RouteTable::new(&routes, &SERVICES).unwrap();
-        built.set(built.get() + u32::from(!table.is_empty()));
+        non_empty.set(non_empty.get() + u32::from(!table.is_empty()));
         let (found, count) = table.find_counted(&host, &path);
         prop_assert_eq!(found.is_some(), reference(&routes, &host, &path).is_some());
         let hosts = host.split('.').count() + 2;
-        prop_assert!(count <= hosts * (path.split('/').count() + 1), "{} look-ups", count);
+        prop_assert!(count <= hosts * (path.split('/').count() + 1), "{} lookups", count);
         Ok(())
     });
-    assert!(built.get() > CASES / 2, "{} tables with routes", built.get());
+    assert!(non_empty.get() > CASES / 2, "{} tables with routes", non_empty.get());
 }
 
-/// `n` routes of which each eleven are three exact hosts with two prefixes each, two wildcards and three prefixes for
-/// any host. Names and prefixes are as long in each eleven: what grows is the count alone.
+/// Builds `n` routes in groups of eleven: three exact hosts with two prefixes each, two wildcards and three prefixes
+/// for any host. Names and prefixes have the same length in each group, so only the number of routes grows.
 fn routes(n: usize) -> Vec<Route> {
     let route = |i: usize| {
         let (group, service) = (i / 11, format!("s-{}", i % 210));
@@ -209,12 +210,12 @@
 }
 
 #[test]
-fn a_look_up_costs_the_same_from_11_to_11000_routes() {
+fn lookup_cost_is_constant_from_11_to_11000_routes() {
     let services: Vec<_> = (0..210).map(|i| format!("s-{i}")).collect();
     let counts = |n: usize| -> Vec<usize> {
         let table = RouteTable::new(&routes(n), &services).unwrap();
         assert_eq!(table.len(), n);
-        // Of each kind the first and the last in the table, then what matches nothing.
+        // For the first and the last group of the table: one request of each kind, then requests that match no route.
         let groups = [0, n / 11 - 1];
         let kinds = |g: usize| {
             [
@@ -234,10 +235,10 @@
         })
         .collect()
     };
-    let few = counts(11);
-    println!("look-ups: {few:?}");
-    assert!(few.iter().all(|c| (1..=12).contains(c)), "{few:?}");
+    let baseline = counts(11);
+    println!("lookups: {baseline:?}");
+    assert!(baseline.iter().all(|c| (1..=12).contains(c)), "{baseline:?}");
     for n in [110, 1100, 11_000] {
-        assert_eq!(counts(n), few, "{n} routes");
+        assert_eq!(counts(n), baseline, "{n} routes");
     }
 }
