--- a/tests/services_fleet.rs
+++ b/tests/services_fleet.rs
@@ -1,5 +1,5 @@
-//! Several services behind a bank of proxies, asked all the time through faults of every process there is: each
-//! service is served on, by its own upstreams alone (issue 28).
+//! Runs several services behind a fleet of proxies under constant load, with faults of every kind of process. Each
+//! service must remain available and be served only by its own upstreams (issue 28).
 
 #[allow(dead_code)] // Each test file uses part of the harness.
 mod harness;
@@ -17,25 +17,25 @@
 use serde_json::{Value, json};
 
 const SOON: Duration = Duration::from_secs(30);
-/// Clients of each service at each proxy; each has one request out at a time.
+/// Clients of each service at each proxy. Each has one request in flight at a time.
 const CLIENTS: u64 = 2;
-/// Requests that each service has to have served at each proxy for a step to count as played.
+/// Requests that must be served for each service at each proxy before a step counts as complete.
 const SERVED: u64 = 25;
-/// Of the upstreams' registrations: long enough that a busy machine lets none of them lapse that lives.
+/// TTL of the upstreams' registrations, long enough that no running upstream's registration lapses on a busy machine.
 const TTL_MS: &str = "3000";
 
-/// What became of one request.
+/// Outcome of one request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Outcome {
-    /// The status of a whole answer.
+    /// A complete answer arrived, with this status.
     Answered(u16),
-    /// It was sent, and no whole answer came.
+    /// The request was sent, but no complete answer arrived.
     Cut,
-    /// Nobody accepted the connection: nothing was sent.
+    /// The connection was refused, so nothing was sent.
     Unconnected,
 }
 
-/// Asks for the service by its path, on a connection of its own; what became of it, and the body.
+/// Sends a request to the service's path on a new connection. Returns the outcome and the body, or the error.
 fn ask(proxy: SocketAddr, service: &str, id: &str) -> (Outcome, String) {
     let mut stream = match TcpStream::connect_timeout(&proxy, SOON) {
         Ok(stream) => stream,
@@ -54,27 +54,27 @@
         .and_then(|()| stream.write_all(head.as_bytes()))
         .and_then(|()| stream.read_to_string(&mut text));
     let status = text.split_whitespace().nth(1).and_then(|s| s.parse().ok());
-    let whole = text.split_once("\r\n\r\n").filter(|(head, body)| {
+    let complete = text.split_once("\r\n\r\n").filter(|(head, body)| {
         let lengths = head.lines().filter_map(|l| l.split_once(": "));
         let mut lengths = lengths.filter(|(name, _)| name.eq_ignore_ascii_case("content-length"));
         lengths.next().is_none_or(|(_, length)| length.parse() == Ok(body.len()))
     });
-    match (read, status, whole) {
+    match (read, status, complete) {
         (Ok(_), Some(status), Some((_, body))) => (Outcome::Answered(status), body.to_owned()),
         (read, ..) => (Outcome::Cut, format!("{read:?} after {text:?}")),
     }
 }
 
-/// A fault that is there while the number is odd.
+/// A fault that is active while the counter is odd.
 #[derive(Default)]
 struct Fault(AtomicU64);
 
 impl Fault {
-    fn begins(&self) {
+    fn begin(&self) {
         assert_eq!(self.0.fetch_add(1, Ordering::SeqCst) % 2, 0);
     }
 
-    fn ends(&self) {
+    fn end(&self) {
         assert_eq!(self.0.fetch_add(1, Ordering::SeqCst) % 2, 1);
     }
 
@@ -82,22 +82,22 @@
         self.0.load(Ordering::SeqCst)
     }
 
-    /// Whether it was there at any moment since then.
+    /// Whether the fault was active at any time since `then`, an earlier value of the counter.
     fn since(&self, then: u64) -> bool {
         then % 2 == 1 || self.now() != then
     }
 }
 
-/// One service at one proxy.
-struct Place {
+/// One service at one proxy, with the counts of its requests.
+struct Target {
     name: String,
     service: &'static str,
     proxy: SocketAddr,
-    /// The proxy is killed, until it listens again.
+    /// Active from the kill of the proxy until it listens again.
     proxy_down: Arc<Fault>,
-    /// An upstream of the service is being killed.
+    /// Active while an upstream of the service is being killed.
     upstream_killed: Arc<Fault>,
-    /// The proxy is told to remove the service, until it has no route any more.
+    /// Active from the reload that removes the service until the proxy has no route to it.
     removing: Fault,
     removed: AtomicBool,
     tally: Mutex<Tally>,
@@ -106,26 +106,26 @@
 #[derive(Default)]
 struct Tally {
     outcomes: BTreeMap<Outcome, u64>,
-    /// Answers by the upstream that gave them.
+    /// Number of successful answers by upstream.
     by: BTreeMap<String, u64>,
-    /// Requests that failed, with the upstream or proxy that was killed while they were out.
+    /// Requests that failed because the upstream or the proxy was killed while they were in flight.
     at_killed_upstream: u64,
     at_killed_proxy: u64,
-    /// Refused for the service's removal.
+    /// Requests refused because the service was removed.
     at_removal: u64,
-    /// What must not be.
+    /// Descriptions of outcomes that no active fault allows.
     wrong: Vec<String>,
 }
 
-impl Place {
-    fn asked(&self, id: &str) {
+impl Target {
+    fn send_request(&self, id: &str) {
         let (down, killed) = (self.proxy_down.now(), self.upstream_killed.now());
         let (removing, removed) = (self.removing.now(), self.removed.load(Ordering::SeqCst));
-        let from = Instant::now();
+        let start = Instant::now();
         let (outcome, body) = ask(self.proxy, self.service, id);
-        let took = from.elapsed();
+        let took = start.elapsed();
         let own = body.starts_with(&format!("{}-", self.service));
-        let mut tally = self.tally.lock().expect("a tally");
+        let mut tally = self.tally.lock().expect("poisoned lock");
         *tally.outcomes.entry(outcome.clone()).or_default() += 1;
         let removal = self.removing.since(removing);
         match outcome {
@@ -146,34 +146,34 @@
     }
 
     fn served(&self) -> u64 {
-        self.tally.lock().expect("a tally").by.values().sum()
+        self.tally.lock().expect("poisoned lock").by.values().sum()
     }
 
     fn wrong(&self) -> Vec<String> {
-        self.tally.lock().expect("a tally").wrong.clone()
+        self.tally.lock().expect("poisoned lock").wrong.clone()
     }
 
     fn served_by(&self, upstream: &str) -> bool {
-        self.tally.lock().expect("a tally").by.contains_key(upstream)
+        self.tally.lock().expect("poisoned lock").by.contains_key(upstream)
     }
 }
 
-/// Clients that ask until this is dropped.
+/// Clients that send requests until this is dropped.
 struct Clients {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Clients {
-    fn ask(&mut self, place: &Arc<Place>) {
+    fn add(&mut self, target: &Arc<Target>) {
         for client in 0..CLIENTS {
-            let (place, stop) = (place.clone(), self.stop.clone());
+            let (target, stop) = (target.clone(), self.stop.clone());
             self.threads.push(thread::spawn(move || {
                 for number in 0_u64.. {
                     if stop.load(Ordering::Relaxed) {
                         break;
                     }
-                    place.asked(&format!("{}-{client}-{number}", place.name));
+                    target.send_request(&format!("{}-{client}-{number}", target.name));
                     thread::sleep(Duration::from_millis(10));
                 }
             }));
@@ -191,7 +191,7 @@
     }
 }
 
-/// A proxy that is set by its file alone.
+/// A proxy configured only by its file.
 struct Proxy {
     at: usize,
     file: PathBuf,
@@ -203,7 +203,7 @@
 impl Proxy {
     fn start(fleet: &mut Fleet, name: &str, lists: &str) -> Self {
         let example = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/proxy.json");
-        let text = std::fs::read_to_string(example).expect("the example");
+        let text = std::fs::read_to_string(example).expect("read examples/proxy.json");
         let mut config: Value = serde_json::from_str(&text).expect("JSON");
         let address = free();
         config["name"] = json!(name);
@@ -211,24 +211,24 @@
         config["management"] = json!(free());
         config["discovery"] = json!(lists);
         config["state_dir"] = json!(fleet.folder(&format!("state-{name}")));
-        // No verdict by the clock: the aim is one that a busy machine, or a second's standstill, doesn't use up.
-        // Of every class: the tightest says how long any may wait.
-        for class in config["settings"]["Services"].as_array_mut().expect("classes") {
+        // The test does not judge timing, so the aims are longer than a busy machine or a process stall of 1 s can use
+        // up. They are set for every class, because the shortest aim limits how long any request may wait.
+        for class in config["settings"]["Services"].as_array_mut().expect("no classes") {
             class["Aim"] = json!(60_000.0);
             class["Deadline"] = json!(120_000.0);
         }
-        // The pace to a cold upstream is not judged here: it holds up, and may refuse, what has one young upstream alone,
-        // with services or without.
+        // The rate limit for cold upstreams is not tested here. It delays and may refuse requests where the only
+        // upstream is new, with or without services.
         config["settings"]["Safety"]["Cold"] = json!(0.0);
-        serve(&mut config, &["a", "b"]);
+        set_services(&mut config, &["a", "b"]);
         let file = fleet.file(&format!("{name}.json"), &config.to_string());
         let at = fleet.start(name, &[], &[("LB_CONFIG", file.to_str().expect("UTF-8"))]);
         Self { at, file, config, address, down: Arc::default() }
     }
 
-    fn place(&self, service: &'static str, upstream_killed: &Arc<Fault>) -> Arc<Place> {
-        Arc::new(Place {
-            name: format!("{}-{service}", self.config["name"].as_str().expect("a name")),
+    fn target(&self, service: &'static str, upstream_killed: &Arc<Fault>) -> Arc<Target> {
+        Arc::new(Target {
+            name: format!("{}-{service}", self.config["name"].as_str().expect("no name")),
             service,
             proxy: self.address,
             proxy_down: self.down.clone(),
@@ -240,15 +240,15 @@
     }
 }
 
-/// Has the configuration serve these, each by its path.
-fn serve(config: &mut Value, services: &[&str]) {
+/// Sets the services of the configuration, with a route for each by its path.
+fn set_services(config: &mut Value, services: &[&str]) {
     config["services"] = services.iter().map(|s| json!({ "name": s })).collect();
     let route = |s: &&str| json!({"host": "", "prefix": format!("/{s}"), "service": s});
     config["routes"] = services.iter().map(route).collect();
 }
 
-/// Starts an upstream that keeps itself in the list.
-fn upstream(fleet: &mut Fleet, cluster: &Cluster, name: &str) -> usize {
+/// Starts an upstream that registers itself and renews its registration.
+fn start_upstream(fleet: &mut Fleet, cluster: &Cluster, name: &str) -> usize {
     let (listen, calls) = (free().to_string(), cluster.services());
     let (service, _) = name.split_once('-').expect("SERVICE-NUMBER");
     let args = [
@@ -269,7 +269,7 @@
     fleet.start(name, &args, &[])
 }
 
-/// The members of this service that the list has as serving.
+/// Ids of the members of this service that are listed as serving.
 fn listed(cluster: &Cluster, service: &str) -> Vec<String> {
     let list = look(cluster.lists[0], &format!("/api/targets?service={service}"));
     let members = list["members"].as_array().cloned().unwrap_or_default();
@@ -277,34 +277,38 @@
     serving.filter_map(|m| Some(m["id"].as_str()?.to_owned())).collect()
 }
 
-/// Waits until it holds at each of these, while nothing goes wrong there.
-fn until_each(what: &str, places: &[&Arc<Place>], holds: impl Fn(usize, &Place) -> bool) {
+/// Waits until the condition holds for each target, and fails on any unexpected outcome meanwhile.
+fn wait_until_each(
+    what: &str,
+    targets: &[&Arc<Target>],
+    condition: impl Fn(usize, &Target) -> bool,
+) {
     let took = until(what, SOON, || {
-        for place in places {
-            let wrong = place.wrong();
+        for target in targets {
+            let wrong = target.wrong();
             assert!(wrong.is_empty(), "{what}: {wrong:#?}");
         }
-        places.iter().enumerate().all(|(i, place)| holds(i, place))
+        targets.iter().enumerate().all(|(i, target)| condition(i, target))
     });
-    eprintln!("step played: {what} ({took:?})");
+    eprintln!("step complete: {what} ({took:?})");
 }
 
-/// Waits until each has served some more.
-fn goes_on(step: &str, places: &[&Arc<Place>]) {
-    let from: Vec<u64> = places.iter().map(|p| p.served()).collect();
-    until_each(step, places, |i, place| place.served() >= from[i] + SERVED);
+/// Waits until each target has served `SERVED` more requests.
+fn wait_for_more_served(step: &str, targets: &[&Arc<Target>]) {
+    let before: Vec<u64> = targets.iter().map(|t| t.served()).collect();
+    wait_until_each(step, targets, |i, target| target.served() >= before[i] + SERVED);
 }
 
-/// Two proxies, each with both services and clients of both.
-struct Bank {
+/// Two proxies that both serve services a and b, and clients of each service at each proxy.
+struct Setup {
     proxies: Vec<Proxy>,
-    /// Those of the first proxy first, of each a and b.
-    places: Vec<Arc<Place>>,
+    /// In the order: first proxy a, first proxy b, second proxy a, second proxy b.
+    targets: Vec<Arc<Target>>,
     clients: Clients,
     a_killed: Arc<Fault>,
 }
 
-impl Bank {
+impl Setup {
     fn start(fleet: &mut Fleet, cluster: &Cluster) -> Self {
         let lists: Vec<String> = cluster.lists.iter().map(ToString::to_string).collect();
         let proxies =
@@ -312,41 +316,44 @@
         let proxies: Vec<Proxy> = proxies.collect();
         proxies.iter().for_each(|p| fleet.ready(p.at));
         let a_killed = Arc::default();
-        let places: Vec<_> = proxies
+        let targets: Vec<_> = proxies
             .iter()
-            .flat_map(|p| [p.place("a", &a_killed), p.place("b", &Arc::default())])
+            .flat_map(|p| [p.target("a", &a_killed), p.target("b", &Arc::default())])
             .collect();
         let mut clients = Clients { stop: Arc::default(), threads: Vec::new() };
-        places.iter().for_each(|p| clients.ask(p));
-        Self { proxies, places, clients, a_killed }
+        targets.iter().for_each(|t| clients.add(t));
+        Self { proxies, targets, clients, a_killed }
     }
 }
 
-/// Judges the counts, and that the drop ends every process.
-fn judged(fleet: Fleet, clients: Clients, places: &[&Arc<Place>]) {
+/// Checks the counts, and that dropping the fleet ends every process.
+fn check_results(fleet: Fleet, clients: Clients, targets: &[&Arc<Target>]) {
     drop(clients);
     let mut asked = 0;
     let (mut at_upstream, mut at_proxy) = (0, 0);
-    for place in places {
-        let tally = place.tally.lock().expect("a tally");
+    for target in targets {
+        let tally = target.tally.lock().expect("poisoned lock");
         eprintln!(
             "{}: {:?}, by {:?}; failed at the killed upstream {}, at the killed proxy {}, at removal {}",
-            place.name,
+            target.name,
             tally.outcomes,
             tally.by,
             tally.at_killed_upstream,
             tally.at_killed_proxy,
             tally.at_removal
         );
-        assert!(tally.wrong.is_empty(), "{}: {:#?}", place.name, tally.wrong);
-        assert!(tally.at_removal <= CLIENTS, "more than were waiting when it was removed");
+        assert!(tally.wrong.is_empty(), "{}: {:#?}", target.name, tally.wrong);
+        assert!(
+            tally.at_removal <= CLIENTS,
+            "more refusals than requests that were queued at the removal"
+        );
         asked += tally.outcomes.values().sum::<u64>();
         at_upstream += tally.at_killed_upstream;
         at_proxy += tally.at_killed_proxy;
     }
     eprintln!("asked {asked}; failed at the killed upstream {at_upstream}, proxy {at_proxy}");
-    // A client has one request out at a time: so many can have been out when the process was killed, at each of both
-    // proxies for the upstream, for each of both services at the proxy.
+    // Each client has one request in flight at a time, which bounds the requests in flight at a kill: for the upstream,
+    // the service's clients at both proxies; for the proxy, its clients of both services.
     assert!(at_upstream <= 2 * CLIENTS, "{at_upstream}");
     assert!(at_proxy <= 2 * CLIENTS, "{at_proxy}");
 
@@ -358,75 +365,82 @@
 }
 
 #[test]
-fn services_are_served_on_by_their_own_upstreams_through_faults_of_every_process() {
+fn each_service_is_served_by_its_own_upstreams_through_all_faults() {
     let mut fleet = Fleet::default();
     let cluster = Cluster::start(&mut fleet, 3, "");
     for name in ["a-1", "b-1", "b-2", "a-2"] {
-        upstream(&mut fleet, &cluster, name);
+        start_upstream(&mut fleet, &cluster, name);
     }
     let killed = fleet.named("a-2");
     for service in ["a", "b"] {
-        until("both are listed", SOON, || listed(&cluster, service).len() == 2);
+        until("both upstreams of a service are listed", SOON, || {
+            listed(&cluster, service).len() == 2
+        });
     }
-    let Bank { mut proxies, places, mut clients, a_killed } = Bank::start(&mut fleet, &cluster);
-    let all: Vec<&Arc<Place>> = places.iter().collect();
-    goes_on("before any fault", &all);
+    let Setup { mut proxies, targets, mut clients, a_killed } = Setup::start(&mut fleet, &cluster);
+    let all: Vec<&Arc<Target>> = targets.iter().collect();
+    wait_for_more_served("before any fault", &all);
 
-    // The list service's leader is killed, and comes back.
+    // The list service's leader is killed and restarted.
     let leader = cluster.leader(None);
     fleet.kill(cluster.at[leader]);
     cluster.leader(Some(leader));
-    goes_on("another instance leads", &all);
+    wait_for_more_served("another instance leads", &all);
     fleet.restart(cluster.at[leader]);
     fleet.ready(cluster.at[leader]);
-    goes_on("the first leader is back", &all);
+    wait_for_more_served("the first leader is back", &all);
 
-    // One upstream is killed and lapses, another comes.
-    a_killed.begins();
+    // One upstream is killed, its registration lapses, and another upstream registers.
+    a_killed.begin();
     fleet.kill(killed);
-    a_killed.ends();
-    goes_on("an upstream of a is dead", &all);
-    until("it lapses", SOON, || listed(&cluster, "a") == ["a-1"]);
-    upstream(&mut fleet, &cluster, "a-3");
-    until_each("the next is used by both", &all, |_, p| p.service != "a" || p.served_by("a-3"));
-    goes_on("another upstream of a is there", &all);
-
-    // A proxy is killed while no list is to be had: it starts from the one that it kept.
+    a_killed.end();
+    wait_for_more_served("an upstream of a is dead", &all);
+    until("the registration of a-2 lapses", SOON, || listed(&cluster, "a") == ["a-1"]);
+    start_upstream(&mut fleet, &cluster, "a-3");
+    wait_until_each("both proxies use a-3", &all, |_, t| t.service != "a" || t.served_by("a-3"));
+    wait_for_more_served("a-3 has replaced a-2", &all);
+
+    // A proxy is killed while no list service is up. It restarts from its stored list.
     cluster.at.iter().for_each(|i| fleet.kill(*i));
-    goes_on("no list service is up", &all);
-    proxies[0].down.begins();
+    wait_for_more_served("no list service is up", &all);
+    proxies[0].down.begin();
     fleet.kill(proxies[0].at);
-    goes_on("one proxy is down too", &all[2..]);
+    wait_for_more_served("one proxy is down too", &all[2..]);
     fleet.restart(proxies[0].at);
-    proxies[0].down.ends();
-    goes_on("it serves from the list that it kept", &all);
+    proxies[0].down.end();
+    wait_for_more_served("the restarted proxy serves from its stored list", &all);
     cluster.at.iter().for_each(|i| fleet.restart(*i));
     cluster.leader(None);
-    upstream(&mut fleet, &cluster, "b-3");
-    until_each("both proxies follow on", &all, |_, p| p.service != "b" || p.served_by("b-3"));
-    goes_on("the list service is back", &all);
-
-    // One proxy serves other services than before.
-    upstream(&mut fleet, &cluster, "c-1");
-    until("it is listed", SOON, || listed(&cluster, "c") == ["c-1"]);
-    let (changed, removed) = (&mut proxies[1], &places[3]);
-    serve(&mut changed.config, &["a", "c"]);
-    std::fs::write(&changed.file, changed.config.to_string()).expect("its file");
-    removed.removing.begins();
+    start_upstream(&mut fleet, &cluster, "b-3");
+    wait_until_each("both proxies follow list updates again", &all, |_, t| {
+        t.service != "b" || t.served_by("b-3")
+    });
+    wait_for_more_served("the list service is back", &all);
+
+    // One proxy is reconfigured to serve c instead of b.
+    start_upstream(&mut fleet, &cluster, "c-1");
+    until("c-1 is listed", SOON, || listed(&cluster, "c") == ["c-1"]);
+    let (changed, removed) = (&mut proxies[1], &targets[3]);
+    set_services(&mut changed.config, &["a", "c"]);
+    std::fs::write(&changed.file, changed.config.to_string()).expect("write configuration file");
+    removed.removing.begin();
     fleet.hang_up(changed.at);
-    until("b has no route there any more", SOON, || {
+    until("the reconfigured proxy has no route to b", SOON, || {
         ask(changed.address, "b", "main").0 == Outcome::Answered(404)
     });
     removed.removed.store(true, Ordering::SeqCst);
-    removed.removing.ends();
-    // Its route came with the other's end: from here on its requests wait for the list at most.
-    let added = changed.place("c", &Arc::default());
-    clients.ask(&added);
+    removed.removing.end();
+    // The route to c was added by the reload that removed b, so from here requests for c wait at most for the list.
+    let added = changed.target("c", &Arc::default());
+    clients.add(&added);
     let served = [all[0], all[1], all[2], &added];
-    goes_on("c is served in the place of b", &served);
-    let refused =
-        || removed.tally.lock().expect("a tally").outcomes.get(&Outcome::Answered(404)).copied();
-    until_each("b is refused there", &[removed], |_, _| refused() >= Some(SERVED));
+    wait_for_more_served("the reconfigured proxy serves c", &served);
+    let refused = || {
+        removed.tally.lock().expect("poisoned lock").outcomes.get(&Outcome::Answered(404)).copied()
+    };
+    wait_until_each("the reconfigured proxy refuses b", &[removed], |_, _| {
+        refused() >= Some(SERVED)
+    });
 
-    judged(fleet, clients, &[all[0], all[1], all[2], all[3], &added]);
+    check_results(fleet, clients, &[all[0], all[1], all[2], all[3], &added]);
 }
