--- a/tests/stubs/mod.rs
+++ b/tests/stubs/mod.rs
@@ -1,5 +1,5 @@
-//! The node as a process, between stand-ins for a client, upstreams and discovery. All on ephemeral
-//! loopback ports; tests wait for events, with a limit wide enough for a busy machine.
+//! Runs the node as a process with stub clients, upstreams and discovery, all on ephemeral loopback ports. Tests wait
+//! for events, with a time limit that is long enough for a busy machine.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -12,10 +12,10 @@
 
 use serde_json::{Value, json};
 
-/// Longest wait for anything that has to happen.
+/// Time limit for each expected event.
 pub const SOON: Duration = Duration::from_secs(20);
 
-/// A message as it came: its first line, headers with lower-case names, and body.
+/// A received message: its first line, headers with lower-case names, and body.
 #[derive(Clone, Debug)]
 pub struct Message {
     pub first: String,
@@ -25,14 +25,14 @@
 
 impl Message {
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).expect("a status").parse().expect("a number")
+        self.first.split(' ').nth(1).expect("no status").parse().expect("status is not a number")
     }
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 }
 
-/// Reads one message; `None` where the connection ends first.
+/// Reads one message. Returns `None` if the connection ends first.
 pub fn read_message(stream: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut line = || {
         let mut line = String::new();
@@ -46,7 +46,8 @@
         let Some((name, value)) = line.split_once(':') else { break };
         headers.insert(name.to_lowercase(), value.trim().to_string());
     }
-    let length = headers.get("content-length").map_or(0, |v| v.parse().expect("a length"));
+    let length =
+        headers.get("content-length").map_or(0, |v| v.parse().expect("invalid Content-Length"));
     let mut body = vec![0; length];
     stream.read_exact(&mut body).ok()?;
     Some(Message { first, headers, body })
@@ -55,15 +56,15 @@
 /// What an upstream does with a request.
 #[derive(Clone)]
 pub enum Does {
-    /// Writes this, and keeps the connection.
+    /// Writes this text and keeps the connection open.
     Answers(String),
-    /// Writes this, and closes the connection.
+    /// Writes this text and closes the connection.
     Ends(String),
-    /// Writes this, and closes the connection once it is told to.
+    /// Writes this text and closes the connection when the channel receives a message.
     EndsLater(String, Arc<std::sync::Mutex<Receiver<()>>>),
-    /// Nothing, on an open connection.
+    /// Sends no answer and keeps the connection open.
     Hangs,
-    /// Answers once it is told to.
+    /// Answers when the channel receives a message.
     Waits(Arc<std::sync::Mutex<Receiver<()>>>),
 }
 
@@ -75,7 +76,7 @@
     Does::Answers(format!("HTTP/1.1 {status}\r\n{headers}Content-Length: 0\r\n\r\n"))
 }
 
-/// What was seen at an upstream, in order.
+/// An event at an upstream, reported in order.
 #[derive(Debug)]
 pub enum Seen {
     Request(SocketAddr, Message),
@@ -89,34 +90,35 @@
 
 impl Upstream {
     pub fn start(does: impl Fn(&Message) -> Does + Send + Sync + 'static) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
-        let (tell, seen) = channel();
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
+        let address = listener.local_addr().expect("local address");
+        let (sender, seen) = channel();
         let does = Arc::new(does);
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (stream, tell, does) = (stream.expect("accepted"), tell.clone(), does.clone());
+                let (stream, sender, does) =
+                    (stream.expect("accept"), sender.clone(), does.clone());
                 thread::spawn(move || {
-                    let peer = stream.peer_addr().expect("a peer");
-                    converse(stream, peer, &tell, &*does);
-                    let _ = tell.send(Seen::Closed);
+                    let peer = stream.peer_addr().expect("peer address");
+                    converse(stream, peer, &sender, &*does);
+                    let _ = sender.send(Seen::Closed);
                 });
             }
         });
         Self { address, seen }
     }
 
-    /// The next request, past whatever else is seen.
+    /// Returns the next request and skips other events.
     pub fn request(&self) -> (SocketAddr, Message) {
         loop {
-            match self.seen.recv_timeout(SOON).expect("a request") {
+            match self.seen.recv_timeout(SOON).expect("no request arrived") {
                 Seen::Request(from, message) => return (from, message),
                 _ => continue,
             }
         }
     }
 
-    /// All requests seen so far and not yet taken.
+    /// Counts the requests received and not yet taken, and discards the pending events.
     pub fn requests_so_far(&self) -> usize {
         self.seen.try_iter().filter(|s| matches!(s, Seen::Request(..))).count()
     }
@@ -125,35 +127,35 @@
 fn converse(
     stream: TcpStream,
     peer: SocketAddr,
-    tell: &Sender<Seen>,
+    sender: &Sender<Seen>,
     does: &dyn Fn(&Message) -> Does,
 ) {
-    let mut out = stream.try_clone().expect("a second handle");
+    let mut writer = stream.try_clone().expect("clone stream");
     let mut reader = BufReader::new(stream);
     while let Some(message) = read_message(&mut reader) {
-        let _ = tell.send(Seen::Request(peer, message.clone()));
+        let _ = sender.send(Seen::Request(peer, message.clone()));
         match does(&message) {
-            Does::Answers(text) => out.write_all(text.as_bytes()).unwrap_or(()),
+            Does::Answers(text) => writer.write_all(text.as_bytes()).unwrap_or(()),
             Does::Ends(text) => {
-                let _ = out.write_all(text.as_bytes());
+                let _ = writer.write_all(text.as_bytes());
                 return;
             }
-            Does::EndsLater(text, go) => {
-                let _ = out.write_all(text.as_bytes());
-                let _ = go.lock().expect("not poisoned").recv_timeout(SOON);
+            Does::EndsLater(text, release) => {
+                let _ = writer.write_all(text.as_bytes());
+                let _ = release.lock().expect("poisoned lock").recv_timeout(SOON);
                 return;
             }
             Does::Hangs => {}
-            Does::Waits(go) => {
-                let _ = go.lock().expect("not poisoned").recv_timeout(SOON);
-                let _ = out.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
+            Does::Waits(release) => {
+                let _ = release.lock().expect("poisoned lock").recv_timeout(SOON);
+                let _ = writer.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
             }
         }
     }
 }
 
-/// An upstream whose connections come up only once it is told to accept them: its backlog is full until then.
-/// Afterwards it tells how much came on each.
+/// An upstream that completes no connection before `open` is called, because its backlog is full. After that, it
+/// reports the number of bytes read from each connection.
 pub struct Late {
     listener: TcpListener,
     pub address: SocketAddr,
@@ -163,26 +165,26 @@
 impl Late {
     pub fn start() -> Self {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
-            .expect("a socket");
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
-        socket.listen(1).expect("listening");
+            .expect("create socket");
+        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("bind");
+        socket.listen(1).expect("listen");
         let listener = TcpListener::from(socket);
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("local address");
         let fill = || TcpStream::connect_timeout(&address, Duration::from_millis(300));
         let fillers: Vec<TcpStream> = std::iter::from_fn(|| fill().ok()).take(64).collect();
-        assert!(fillers.len() < 64, "the backlog does not fill");
+        assert!(fillers.len() < 64, "the backlog did not fill up");
         Self { listener, address, fillers }
     }
 
-    /// Accepts from now on; the bytes of each connection's first read.
+    /// Starts to accept connections. The channel receives the number of bytes of each connection's first read.
     pub fn open(self) -> Receiver<usize> {
-        let (tell, seen) = channel();
+        let (sender, seen) = channel();
         drop(self.fillers);
         thread::spawn(move || {
             for stream in self.listener.incoming() {
-                let (mut stream, tell) = (stream.expect("accepted"), tell.clone());
+                let (mut stream, sender) = (stream.expect("accept"), sender.clone());
                 thread::spawn(move || {
-                    let _ = tell.send(stream.read(&mut [0; 64]).unwrap_or(0));
+                    let _ = sender.send(stream.read(&mut [0; 64]).unwrap_or(0));
                 });
             }
         });
@@ -190,7 +192,7 @@
     }
 }
 
-/// Discovery: tells each watch's request line, and hands over its connection, head written.
+/// A discovery stub. For each watch, it writes the response head and reports the request line and the connection.
 pub struct Discovery {
     pub address: SocketAddr,
     pub watches: Receiver<(String, TcpStream)>,
@@ -202,23 +204,23 @@
         Self::saying(head.to_owned(), Duration::ZERO)
     }
 
-    /// Says this so long after each call.
+    /// Starts a stub that writes `first` to each call after this delay.
     pub fn saying(first: String, after: Duration) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
-        let (tell, watches) = channel();
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
+        let address = listener.local_addr().expect("local address");
+        let (sender, watches) = channel();
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (mut stream, tell, first) =
-                    (stream.expect("accepted"), tell.clone(), first.clone());
+                let (mut stream, sender, first) =
+                    (stream.expect("accept"), sender.clone(), first.clone());
                 let answer = move || {
-                    let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
+                    let mut reader = BufReader::new(stream.try_clone().expect("clone stream"));
                     let Some(call) = read_message(&mut reader) else { return };
                     thread::sleep(after);
                     let _ = stream.write_all(first.as_bytes());
-                    let _ = tell.send((call.first, stream));
+                    let _ = sender.send((call.first, stream));
                 };
-                // Who takes no time answers in the order of the calls.
+                // Without a delay, calls are answered in their order.
                 if after.is_zero() {
                     answer();
                 } else {
@@ -230,14 +232,14 @@
     }
 
     pub fn watch(&self) -> (String, TcpStream) {
-        self.watches.recv_timeout(SOON).expect("a watch")
+        self.watches.recv_timeout(SOON).expect("no watch was opened")
     }
 }
 
-/// Writes a piece of a watch as one chunk.
+/// Writes part of a watch's response as one chunk.
 pub fn chunk(stream: &mut TcpStream, text: &str) {
     let framed = format!("{:x}\r\n{text}\r\n", text.len());
-    stream.write_all(framed.as_bytes()).expect("the watch is open");
+    stream.write_all(framed.as_bytes()).expect("the watch is closed");
 }
 
 pub fn member(id: &str, address: SocketAddr, phase: &str) -> Value {
@@ -276,7 +278,7 @@
 pub struct Node {
     pub child: Child,
     pub address: SocketAddr,
-    /// Where operators call, if the node was told to listen for them.
+    /// Management address, if the node was started with one.
     pub management: Option<SocketAddr>,
     pub discovery: Discovery,
     config: std::path::PathBuf,
@@ -297,11 +299,12 @@
     let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     let name = format!("hollowpaddle-{}-{n}.json", std::process::id());
     let path = std::env::temp_dir().join(name);
-    std::fs::write(&path, config).expect("a temporary file");
+    std::fs::write(&path, config).expect("write configuration file");
     path
 }
 
-/// What it says on its way out, where it can't start with this file.
+/// Runs the node with an invalid configuration file and returns its standard error output. Fails if the node exits
+/// with success.
 pub fn refuses_to_start(command: &mut Command, file: &str) -> String {
     let path = write_config(file);
     let output = command
@@ -309,7 +312,7 @@
         .env("LB_LISTEN", "127.0.0.1:0")
         .env("LB_DISCOVERY", "127.0.0.1:1")
         .output()
-        .expect("it runs");
+        .expect("run the node");
     let _ = std::fs::remove_file(path);
     assert!(!output.status.success());
     String::from_utf8(output.stderr).expect("UTF-8")
@@ -320,24 +323,24 @@
         Self::start_by(Command::new(NODE), config)
     }
 
-    /// Starts it by this command, and waits until it listens.
+    /// Starts the node with this command and waits until it listens.
     pub fn start_by(command: Command, config: &Value) -> Self {
         Self::start_at(command, config, SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
-    /// Starts it with an address for operators.
+    /// Starts the node with a management address.
     pub fn managed(config: &Value) -> Self {
         Self::managed_at(config, SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
-    /// The same, with clients at this address.
+    /// Starts the node with a management address, and with this address for clients.
     pub fn managed_at(config: &Value, listen: SocketAddr) -> Self {
         let mut command = Command::new(NODE);
         command.env("LB_MANAGEMENT", "127.0.0.1:0");
         Self::start_at(command, config, listen)
     }
 
-    /// Starts it at this address, where this discovery tells the list.
+    /// Starts the node at this address, with the list served by this discovery stub.
     pub fn told_by(discovery: Discovery, config: &Value, listen: SocketAddr) -> Self {
         Self::launch(Command::new(NODE), config, listen, discovery)
     }
@@ -361,22 +364,26 @@
             .env("TMPDIR", env!("CARGO_TARGET_TMPDIR"))
             .stderr(Stdio::piped())
             .spawn()
-            .expect("the node starts");
-        let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
-        let told = |rest: &str| {
-            rest.split_whitespace().next().expect("an address").parse().expect("valid")
+            .expect("start the node");
+        let mut log = BufReader::new(child.stderr.take().expect("stderr is not piped")).lines();
+        let parse_address = |rest: &str| {
+            rest.split_whitespace()
+                .next()
+                .expect("no address in the log line")
+                .parse()
+                .expect("invalid address")
         };
         let mut management = None;
         let address = loop {
-            let line = log.next().expect("a word of where it listens").expect("UTF-8");
+            let line = log.next().expect("the node did not log its addresses").expect("UTF-8");
             if let Some((_, rest)) = line.split_once("operators call at ") {
-                management = Some(told(rest));
+                management = Some(parse_address(rest));
             }
             if let Some((_, rest)) = line.split_once("listening on ") {
-                break told(rest);
+                break parse_address(rest);
             }
         };
-        // The pipe must not fill up.
+        // Reads the log to the end, so that the pipe does not fill up and block the node.
         thread::spawn(move || log.for_each(|l| eprintln!("node: {}", l.unwrap_or_default())));
         Self { child, address, management, discovery, config: path }
     }
@@ -385,36 +392,36 @@
         Client::to(self.address)
     }
 
-    /// One call of an operator, on a connection of its own: `GET /admin/health`.
+    /// Sends one management call, such as `GET /admin/health`, on a new connection.
     pub fn call(&self, what: &str) -> Message {
-        let mut client = Client::to(self.management.expect("an address for operators"));
+        let mut client = Client::to(self.management.expect("the node has no management address"));
         let answer =
             client.ask(&format!("{what} HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"));
-        assert!(client.answer().is_none(), "one call to a connection");
+        assert!(client.answer().is_none(), "the node must close the connection after one call");
         answer
     }
 
     pub fn exit_code(&mut self) -> Option<i32> {
-        let from = Instant::now();
-        while from.elapsed() < SOON {
-            if let Some(status) = self.child.try_wait().expect("a child") {
+        let start = Instant::now();
+        while start.elapsed() < SOON {
+            if let Some(status) = self.child.try_wait().expect("wait for the node") {
                 return status.code();
             }
             thread::sleep(Duration::from_millis(5));
         }
-        panic!("the node goes on");
+        panic!("the node did not exit");
     }
 
-    /// Replaces its configuration file.
+    /// Replaces the node's configuration file.
     pub fn reconfigure(&self, config: &str) {
-        std::fs::write(&self.config, config).expect("a temporary file");
+        std::fs::write(&self.config, config).expect("write configuration file");
     }
 
-    /// Sends it a signal, by its name.
+    /// Sends the node a signal, given by name.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         let sent = Command::new("sh").args(["-c", "kill -\"$1\" \"$0\"", &pid, name]).status();
-        assert!(sent.expect("a shell").success());
+        assert!(sent.expect("run sh").success());
     }
 }
 
@@ -422,7 +429,7 @@
 
 impl Client {
     pub fn to(address: SocketAddr) -> Self {
-        Self::try_to(address).expect("it accepts")
+        Self::try_to(address).expect("connect")
     }
     pub fn try_to(address: SocketAddr) -> std::io::Result<Self> {
         let stream = TcpStream::connect(address)?;
@@ -430,30 +437,30 @@
         Ok(Self(BufReader::new(stream)))
     }
     pub fn send(&mut self, text: &str) {
-        self.try_send(text).expect("written");
+        self.try_send(text).expect("send request");
     }
     pub fn try_send(&mut self, text: &str) -> std::io::Result<()> {
         self.0.get_mut().write_all(text.as_bytes())
     }
-    /// The next answer; `None` where the connection ends first.
+    /// Reads the next answer. Returns `None` if the connection ends first.
     pub fn answer(&mut self) -> Option<Message> {
         read_message(&mut self.0)
     }
-    /// Whether something of an answer, or the end of the connection, has come by now.
+    /// Whether part of an answer, or the end of the connection, has arrived.
     pub fn has_answer(&mut self) -> bool {
         let stream = self.0.get_ref();
-        stream.set_nonblocking(true).expect("a socket");
-        let come = !self.0.buffer().is_empty() || stream.peek(&mut [0]).is_ok();
-        stream.set_nonblocking(false).expect("a socket");
-        come
+        stream.set_nonblocking(true).expect("set blocking mode");
+        let arrived = !self.0.buffer().is_empty() || stream.peek(&mut [0]).is_ok();
+        stream.set_nonblocking(false).expect("set blocking mode");
+        arrived
     }
     pub fn ask(&mut self, text: &str) -> Message {
         self.send(text);
-        self.answer().expect("an answer")
+        self.answer().expect("no answer")
     }
 }
 
-/// A request of the class that is safe to repeat.
+/// Builds a request of the retryable class.
 pub fn read(id: &str, deadline_ms: u64) -> String {
     format!(
         "GET /api?of={id} HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {id}\r\nX-Class: read\r\n\
@@ -461,7 +468,7 @@
     )
 }
 
-/// A request that must never run twice.
+/// Builds a request that must never run twice.
 pub fn alarm(id: &str, deadline_ms: u64, body: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {id}\r\nX-Class: alarm\r\n\
