--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -228,11 +228,11 @@
     ) {
         let at: Vec<_> = self.proxies.iter().map(|p| self.fleet.address(*p)).collect();
         let load = Load::start(&at);
-        let sort_by_load = |w: &mut Self| {
-            w.upstreams.sort_by_key(|u| {
+        let sort_by_load = |setup: &mut Self| {
+            setup.upstreams.sort_by_key(|u| {
                 std::cmp::Reverse(u.arrivals.lock().expect("poisoned lock").len())
             });
-            w.upstreams[2].last().is_some()
+            setup.upstreams[2].last().is_some()
         };
         until("three upstreams have received requests", SOON, || sort_by_load(&mut self));
         let fault_time = Instant::now();
@@ -264,7 +264,7 @@
 #[test]
 fn drain_ends_sends_when_the_watch_is_frozen() {
     Setup::start(1).check_drain(
-        |w| w.relay.freeze(),
+        |setup| setup.relay.freeze(),
         Duration::from_secs(1),
         |f, _| f + SILENCE_LIMIT,
     );
@@ -272,30 +272,30 @@
 
 #[test]
 fn drain_ends_sends_when_a_list_instance_is_paused() {
-    let stop = |w: &mut Setup| {
-        w.fleet.pause(w.cluster.at[0]);
-        w.cluster.leader(Some(0));
+    let stop = |setup: &mut Setup| {
+        setup.fleet.pause(setup.cluster.at[0]);
+        setup.cluster.leader(Some(0));
     };
     Setup::start(3).check_drain(stop, Duration::ZERO, |f, _| f + SILENCE_LIMIT);
 }
 
 #[test]
 fn drain_ends_sends_when_the_watch_is_reset() {
-    Setup::start(1).check_drain(|w| w.relay.reset(), Duration::ZERO, |_, drained| drained);
+    Setup::start(1).check_drain(|setup| setup.relay.reset(), Duration::ZERO, |_, drained| drained);
 }
 
 #[test]
 fn drain_ends_sends_when_the_watch_is_cut_inside_an_object() {
-    Setup::start(1).check_drain(|w| w.relay.cut(), Duration::ZERO, |_, drained| drained);
+    Setup::start(1).check_drain(|setup| setup.relay.cut(), Duration::ZERO, |_, drained| drained);
 }
 
 #[test]
 fn drain_ends_sends_when_discovery_moves() {
-    let moved = |w: &mut Setup| {
-        w.relay.freeze();
-        let text = proxy_config(w.cluster.lists[0]).to_string();
-        std::fs::write(&w.config, text).expect("write configuration file");
-        w.proxies.iter().for_each(|p| w.fleet.hang_up(*p));
+    let moved = |setup: &mut Setup| {
+        setup.relay.freeze();
+        let text = proxy_config(setup.cluster.lists[0]).to_string();
+        std::fs::write(&setup.config, text).expect("write configuration file");
+        setup.proxies.iter().for_each(|p| setup.fleet.hang_up(*p));
     };
     Setup::start(1).check_drain(moved, Duration::from_millis(200), |_, drained| drained);
 }
