--- a/tests/streams/mod.rs
+++ b/tests/streams/mod.rs
@@ -505,8 +505,8 @@
         let _ = client.read_to_end(&mut rest);
         assert!(!rest.starts_with(b"HTTP"), "answered after the error: {framing}{body}");
     }
-    // Both framing headers: chunked takes precedence, Content-Length is not forwarded, and the connection is closed after
-    // the response.
+    // Both framing headers: chunked takes precedence, Content-Length is not forwarded, and the connection is closed
+    // after the response.
     let mut client = connect(&node);
     let both = post("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n");
     write(&mut client, (both + "5\r\nhello\r\n0\r\n\r\n" + &read("smuggled", 5000)).as_bytes());
