--- a/tests/list_service.rs
+++ b/tests/list_service.rs
@@ -1,4 +1,4 @@
-//! The list service as several processes, with faults between them (issue 12).
+//! The list service as a cluster of processes, with faults between them (issue 12).
 
 #[allow(dead_code)] // Each test file uses part of the harness.
 mod harness;
@@ -15,7 +15,7 @@
 use harness::{ASK, Cluster, Fleet, PROGRAM, Watch, ask, free, get, look, member, post, until};
 use serde_json::{Value, json};
 
-const SOON: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 fn revision(message: &Value) -> u64 {
     message["revision"].as_u64().expect("a revision")
@@ -27,17 +27,17 @@
 }
 
 #[test]
-fn a_watch_goes_on_at_another_instance_when_the_writer_is_killed_mid_stream() {
+fn a_watch_continues_at_another_instance_after_the_leader_is_killed() {
     let mut fleet = Fleet::default();
     let cluster = Cluster::start(&mut fleet, 3, "");
-    let writer = cluster.leader(None);
+    let leader = cluster.leader(None);
     let stop = Arc::new(AtomicBool::new(false));
-    let (lists, told_to_stop) = (cluster.lists.clone(), stop.clone());
-    // A watcher that begins at the writer and takes the next instance when its watch ends.
-    let watching = thread::spawn(move || {
-        let (mut at, mut held, mut seen, mut revisions) = (writer, 0, BTreeSet::new(), Vec::new());
+    let (lists, stop_watcher) = (cluster.lists.clone(), stop.clone());
+    // Starts at the leader and moves to the next instance when its watch ends.
+    let watcher = thread::spawn(move || {
+        let (mut at, mut held, mut seen, mut revisions) = (leader, 0, BTreeSet::new(), Vec::new());
         let mut watch = Watch::open(lists[at], held);
-        while !told_to_stop.load(Ordering::Relaxed) {
+        while !stop_watcher.load(Ordering::Relaxed) {
             match watch.next(Duration::from_millis(100)) {
                 Some(message) => {
                     held = revision(&message);
@@ -56,30 +56,33 @@
     let mut acknowledged = Vec::new();
     for i in 0..200 {
         if i == 100 {
-            fleet.kill(cluster.at[writer]);
+            fleet.kill(cluster.at[leader]);
         }
         let id = format!("m-{i}");
         cluster.register(&id, free());
         acknowledged.push(id);
     }
-    let next = cluster.leader(Some(writer));
+    let next = cluster.leader(Some(leader));
     let last = look(cluster.calls[next], "/admin/stats")["revision"].as_u64().expect("a revision");
-    // Had from the list itself, so that a late watch is told apart from a gap.
-    until("the survivors agree", SOON, || {
+    // Read from the instances themselves, to distinguish a late watch from a gap.
+    until("the survivors agree", TIMEOUT, || {
         (0..3)
-            .filter(|i| *i != writer)
+            .filter(|i| *i != leader)
             .all(|i| look(cluster.lists[i], "/-/ready")["revision"] == last)
     });
     thread::sleep(Duration::from_millis(500));
     stop.store(true, Ordering::Relaxed);
-    let (seen, revisions) = watching.join().expect("the watcher");
-    assert!(revisions.windows(2).all(|w| w[0] < w[1]), "a revision came again or went back");
+    let (seen, revisions) = watcher.join().expect("the watcher");
+    assert!(revisions.windows(2).all(|w| w[0] < w[1]), "a revision was repeated or went back");
     assert_eq!(revisions.last(), Some(&last));
-    assert!(acknowledged.iter().all(|id| seen.contains(id)), "a gap");
+    assert!(
+        acknowledged.iter().all(|id| seen.contains(id)),
+        "an acknowledged member was never seen"
+    );
 }
 
 #[test]
-fn proxies_serve_on_while_every_instance_is_down_for_thirty_seconds() {
+fn proxies_keep_serving_while_all_instances_are_down() {
     let mut fleet = Fleet::default();
     let cluster = Cluster::start(&mut fleet, 3, "");
     let upstream = fleet.start("s-1", &["stand-in", "--name", "s-1"], &[]);
@@ -99,9 +102,9 @@
         thread::sleep(Duration::from_millis(100));
     }
     assert!(asked > 200, "{asked}");
-    // One alone serves what it kept; two decide again.
+    // One instance alone serves its persisted list; two form a quorum again.
     fleet.restart(cluster.at[1]);
-    until("both proxies watch the one that is back", SOON, || {
+    until("both proxies watch the restarted instance", TIMEOUT, || {
         look(cluster.calls[1], "/admin/stats")["watches"] == 2
     });
     fleet.restart(cluster.at[2]);
@@ -110,52 +113,59 @@
     let (status, answer) = cluster.write("/admin/members/leave", r#"{"id":"s-1"}"#);
     assert_eq!(status, 200, "{answer}");
     for &proxy in &proxies {
-        until("the news is with the proxy", Duration::from_secs(2), || {
+        until("the proxy has received the update", Duration::from_secs(2), || {
             get(fleet.address(proxy), "/api/stock", &ASK) == Some((200, "s-2\n".into()))
         });
     }
 }
 
 #[test]
-fn a_leader_that_is_told_to_stop_has_another_lead_first() {
+fn a_stopping_leader_transfers_leadership_before_it_exits() {
     let mut fleet = Fleet::default();
-    // Nobody would miss it for so long.
+    // Long enough that no follower starts an election because the leader has gone.
     let cluster = Cluster::start(&mut fleet, 3, "election_ms = 2000");
     cluster.register("before", free());
     let leader = cluster.leader(None);
     fleet.stop(cluster.at[leader]);
-    assert_eq!(fleet.ended(cluster.at[leader], SOON), Some(0));
+    assert_eq!(fleet.ended(cluster.at[leader], TIMEOUT), Some(0));
     let next = (0..3).filter(|i| *i != leader);
     let leads = |i: usize| look(cluster.calls[i], "/admin/health")["leads"] == true;
-    assert_eq!(next.filter(|i| leads(*i)).count(), 1, "at the moment when it has gone");
+    assert_eq!(
+        next.filter(|i| leads(*i)).count(),
+        1,
+        "exactly one other instance leads once the leader has exited"
+    );
     cluster.register("after", free());
 }
 
 #[test]
-fn a_compacted_revision_gets_the_whole_list() {
+fn a_watch_from_a_compacted_revision_gets_the_full_list() {
     let mut fleet = Fleet::default();
     let cluster = Cluster::start(&mut fleet, 1, "history = 4");
     let first = cluster.register("m-0", free());
     for i in 1..10 {
         cluster.register(&format!("m-{i}"), free());
     }
-    let told = Watch::open(cluster.lists[0], first).next(SOON).expect("told");
-    assert_eq!((&told["complete"], ids(&told).len()), (&json!(true), 10));
-    let told = Watch::open(cluster.lists[0], first + 7).next(SOON).expect("told");
-    assert_eq!((&told["complete"], ids(&told)), (&json!(false), vec!["m-8".into(), "m-9".into()]));
+    let update = Watch::open(cluster.lists[0], first).next(TIMEOUT).expect("an update");
+    assert_eq!((&update["complete"], ids(&update).len()), (&json!(true), 10));
+    let update = Watch::open(cluster.lists[0], first + 7).next(TIMEOUT).expect("an update");
+    assert_eq!(
+        (&update["complete"], ids(&update)),
+        (&json!(false), vec!["m-8".into(), "m-9".into()])
+    );
 }
 
 #[test]
-fn a_follower_that_was_cut_off_catches_up_and_tells_nothing_old_as_new() {
+fn a_paused_follower_catches_up_without_sending_stale_revisions() {
     let mut fleet = Fleet::default();
-    // A small log: what the follower missed has become a snapshot meanwhile. Nobody is missed for a moment in which
-    // the machine is busy.
+    // A small log, so that the entries the follower missed are compacted into a snapshot meanwhile. The long election
+    // time-out prevents elections while the machine is busy for a moment.
     let extra = "snapshot_bytes = 4096\nhistory = 16\nelection_ms = 1500";
     let cluster = Cluster::start(&mut fleet, 3, extra);
     let before = cluster.register("before", free());
     let leader = cluster.leader(None);
     let follower = (leader + 1) % 3;
-    until("it has the first", SOON, || {
+    until("the follower has the first member", TIMEOUT, || {
         look(cluster.lists[follower], "/-/ready")["revision"] == before
     });
     let mut watch = Watch::open(cluster.lists[follower], before);
@@ -166,100 +176,100 @@
     }
     let leader = cluster.leader(Some(follower));
     fleet.resume(cluster.at[follower]);
-    // A watch that is ahead of it is told nothing until it has caught up.
+    // A watch ahead of the follower's revision gets no update until the follower has caught up.
     let mut ahead = Watch::open(cluster.lists[follower], last - 1);
-    let told = ahead.next(SOON).expect("caught up");
-    assert_eq!(revision(&told), last);
+    let update = ahead.next(TIMEOUT).expect("an update after catching up");
+    assert_eq!(revision(&update), last);
     let mut held = before;
     while held < last {
-        let told = watch.next(SOON).expect("goes on");
-        assert!(revision(&told) > held, "went back");
-        held = revision(&told);
+        let update = watch.next(TIMEOUT).expect("the watch continues");
+        assert!(revision(&update) > held, "the revision went back");
+        held = revision(&update);
     }
-    assert_eq!(cluster.leader(None), leader, "one that comes back unseats nobody");
+    assert_eq!(cluster.leader(None), leader, "a follower that resumes does not replace the leader");
 }
 
-/// Stands before one instance of another, and cuts off what it is told to.
+/// A TCP forwarder between the instances that can close connections carrying long calls to one of them.
 #[derive(Clone, Default)]
-struct Cut {
-    /// The number of the instance, from 1, that gets no calls longer than `most`; 0 for none.
-    from: Arc<AtomicUsize>,
-    most: Arc<AtomicUsize>,
-    /// Calls that were cut off.
+struct Interceptor {
+    /// The instance, counted from 1, to which calls with a body longer than `max_length` are cut off; 0 for none.
+    target: Arc<AtomicUsize>,
+    max_length: Arc<AtomicUsize>,
+    /// Number of calls that were cut off.
     calls: Arc<AtomicUsize>,
 }
 
-impl Cut {
-    fn before(&self, to: usize, address: SocketAddr) -> SocketAddr {
+impl Interceptor {
+    fn listen_for(&self, to: usize, address: SocketAddr) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let at = listener.local_addr().expect("an address");
-        let cut = self.clone();
+        let interceptor = self.clone();
         thread::spawn(move || {
-            for near in listener.incoming().map_while(Result::ok) {
-                let Ok(far) = TcpStream::connect(address) else { continue };
-                let handles = near.try_clone().and_then(|n| Ok((n, far.try_clone()?)));
-                let (mut near_out, mut far_in) = handles.expect("second handles");
-                let cut = cut.clone();
-                thread::spawn(move || cut.carry(to, near, far));
+            for client in listener.incoming().map_while(Result::ok) {
+                let Ok(server) = TcpStream::connect(address) else { continue };
+                let handles = client.try_clone().and_then(|n| Ok((n, server.try_clone()?)));
+                let (mut client_out, mut server_in) = handles.expect("second handles");
+                let interceptor = interceptor.clone();
+                thread::spawn(move || interceptor.forward(to, client, server));
                 thread::spawn(move || {
-                    let _ = std::io::copy(&mut far_in, &mut near_out);
-                    let _ = near_out.shutdown(Shutdown::Both);
+                    let _ = std::io::copy(&mut server_in, &mut client_out);
+                    let _ = client_out.shutdown(Shutdown::Both);
                 });
             }
         });
         at
     }
 
-    fn carry(&self, to: usize, mut near: TcpStream, mut far: TcpStream) {
-        let mut piece = [0; 16 << 10];
-        while let Ok(n @ 1..) = near.read(&mut piece) {
-            let text = String::from_utf8_lossy(&piece[..n]).to_lowercase();
+    fn forward(&self, to: usize, mut client: TcpStream, mut server: TcpStream) {
+        let mut chunk = [0; 16 << 10];
+        while let Ok(n @ 1..) = client.read(&mut chunk) {
+            let text = String::from_utf8_lossy(&chunk[..n]).to_lowercase();
             let length = text.split_once("content-length: ").and_then(|(_, t)| t.lines().next());
             let length = length.and_then(|l| l.parse::<usize>().ok()).unwrap_or(0);
-            if self.from.load(Ordering::SeqCst) == to + 1
-                && length > self.most.load(Ordering::SeqCst)
+            if self.target.load(Ordering::SeqCst) == to + 1
+                && length > self.max_length.load(Ordering::SeqCst)
             {
                 self.calls.fetch_add(1, Ordering::SeqCst);
                 break;
             }
-            if far.write_all(&piece[..n]).is_err() {
+            if server.write_all(&chunk[..n]).is_err() {
                 break;
             }
         }
-        let _ = (near.shutdown(Shutdown::Both), far.shutdown(Shutdown::Both));
+        let _ = (client.shutdown(Shutdown::Both), server.shutdown(Shutdown::Both));
     }
 }
 
 #[test]
-fn a_follower_whose_snapshot_was_lost_on_its_way_gets_another() {
-    let (mut fleet, cut) = (Fleet::default(), Cut::default());
+fn a_snapshot_lost_in_transit_is_sent_again() {
+    let (mut fleet, interceptor) = (Fleet::default(), Interceptor::default());
     let extra = "snapshot_bytes = 4096\nhistory = 16\nelection_ms = 1500";
     let cluster =
         Cluster::start_routed(&mut fleet, 3, extra, &mut |from, to, at| match from == to {
             true => at,
-            false => cut.before(to, at),
+            false => interceptor.listen_for(to, at),
         });
     let before = cluster.register("before", free());
     let leader = cluster.leader(None);
     let follower = (leader + 1) % 3;
     let has = |revision: u64| look(cluster.lists[follower], "/-/ready")["revision"] == revision;
-    until("it has the first", SOON, || has(before));
-    cut.from.store(follower + 1, Ordering::SeqCst);
+    until("the follower has the first member", TIMEOUT, || has(before));
+    interceptor.target.store(follower + 1, Ordering::SeqCst);
     let mut last = before;
     for i in 0..400 {
         last = cluster.register(&format!("{:0>100}", i % 20), free());
     }
-    assert!(!has(last), "it heard all the same");
-    // From here on it hears of its leader, and the state, far longer than that, is lost once more.
-    cut.most.store(1500, Ordering::SeqCst);
-    cut.calls.store(0, Ordering::SeqCst);
-    until("its snapshot is lost", SOON, || cut.calls.load(Ordering::SeqCst) > 0);
-    cut.from.store(0, Ordering::SeqCst);
-    until("it has caught up", SOON, || has(last));
+    assert!(!has(last), "the follower received the updates although it was cut off");
+    // From here on the follower receives heartbeats; the snapshot is far longer than 1500 bytes and is lost once more.
+    interceptor.max_length.store(1500, Ordering::SeqCst);
+    interceptor.calls.store(0, Ordering::SeqCst);
+    until("its snapshot is lost again", TIMEOUT, || interceptor.calls.load(Ordering::SeqCst) > 0);
+    interceptor.target.store(0, Ordering::SeqCst);
+    until("the follower has caught up", TIMEOUT, || has(last));
 }
 
 #[test]
-fn what_is_malformed_or_too_large_gets_an_error_and_kills_nobody() {
+fn malformed_and_oversized_requests_get_an_error() {
     let mut fleet = Fleet::default();
     let cluster = Cluster::start(&mut fleet, 3, "");
     let (list, calls) = (cluster.lists[0], cluster.calls[0]);
@@ -283,10 +293,10 @@
     assert_eq!(get(list, "/api/targets?index=-3", &[]).map(|a| a.0), Some(400));
     let head = format!("X-Much: {}", large.repeat(5));
     assert_eq!(get(list, "/api/targets", &[&head]).map(|a| a.0), Some(431));
-    for rubbish in ["\r\n\r\n\r\n", "GET /api/targets HTTP/9\r\n\r\n", "\0\0\0\0\0\0\0\0\r\n\r\n"] {
+    for garbage in ["\r\n\r\n\r\n", "GET /api/targets HTTP/9\r\n\r\n", "\0\0\0\0\0\0\0\0\r\n\r\n"] {
         let mut stream = TcpStream::connect(list).expect("it accepts");
-        stream.set_read_timeout(Some(SOON)).expect("a timeout");
-        stream.write_all(rubbish.as_bytes()).expect("sent");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
+        stream.write_all(garbage.as_bytes()).expect("sent");
         let _ = stream.shutdown(std::net::Shutdown::Write);
         let mut answer = String::new();
         let _ = stream.read_to_string(&mut answer);
@@ -295,13 +305,13 @@
     assert_eq!(
         cluster.write("/admin/members", &member("a", free())).0,
         200,
-        "alive after all that"
+        "still serving after the malformed requests"
     );
     assert!((0..3).all(|i| get(cluster.lists[i], "/-/ready", &[]).map(|a| a.0) == Some(200)));
 }
 
 #[test]
-fn one_change_among_a_thousand_members_reaches_three_hundred_watches() {
+fn one_change_among_1000_members_reaches_300_watches() {
     let mut fleet = Fleet::default();
     let mut seeds = String::new();
     for i in 0..1000 {
@@ -311,19 +321,20 @@
         );
     }
     let cluster = Cluster::start(&mut fleet, 3, &seeds);
-    let whole = look(cluster.lists[2], "/api/targets");
-    assert_eq!(ids(&whole).len(), 1000);
+    let full_list = look(cluster.lists[2], "/api/targets");
+    assert_eq!(ids(&full_list).len(), 1000);
     let at = |i: usize| -> SocketAddr { cluster.lists[i % 3] };
-    let mut watches: Vec<Watch> = (0..300).map(|i| Watch::open(at(i), revision(&whole))).collect();
+    let mut watches: Vec<Watch> =
+        (0..300).map(|i| Watch::open(at(i), revision(&full_list))).collect();
     let last = cluster.register("new", free());
     for watch in &mut watches {
-        let told = watch.next(SOON).expect("the change");
-        assert_eq!((revision(&told), ids(&told)), (last, vec!["new".to_owned()]));
+        let update = watch.next(TIMEOUT).expect("the change");
+        assert_eq!((revision(&update), ids(&update)), (last, vec!["new".to_owned()]));
     }
 }
 
 #[test]
-fn a_member_that_stops_renewing_drains_and_goes_and_a_new_leader_forgets_none() {
+fn a_member_expires_without_renewals_across_a_leader_change() {
     let mut fleet = Fleet::default();
     let cluster = Cluster::start(&mut fleet, 3, "");
     let services = cluster.services();
@@ -336,33 +347,33 @@
     };
     let leader = cluster.leader(None);
     let other = (leader + 1) % 3;
-    until("it is listed", SOON, || phase(other) == Some(json!("SERVING")));
+    until("the member is listed", TIMEOUT, || phase(other) == Some(json!("SERVING")));
     fleet.kill(cluster.at[leader]);
     cluster.leader(Some(leader));
     thread::sleep(Duration::from_millis(1500));
-    assert_eq!(phase(other), Some(json!("SERVING")), "it went on renewing at the new leader");
+    assert_eq!(phase(other), Some(json!("SERVING")), "it keeps renewing at the new leader");
     fleet.pause(upstream);
-    until("it drains", SOON, || phase(other) == Some(json!("DRAINING")));
+    until("the member drains", TIMEOUT, || phase(other) == Some(json!("DRAINING")));
     fleet.resume(upstream);
-    until("it serves again", SOON, || phase(other) == Some(json!("SERVING")));
+    until("the member serves again", TIMEOUT, || phase(other) == Some(json!("SERVING")));
     fleet.kill(upstream);
-    until("it drains", SOON, || phase(other) == Some(json!("DRAINING")));
-    until("it goes", SOON, || phase(other).is_none());
-    // One that is told to stop leaves by itself, and at once.
+    until("the member drains", TIMEOUT, || phase(other) == Some(json!("DRAINING")));
+    until("the member is removed", TIMEOUT, || phase(other).is_none());
+    // A member that is stopped deregisters at once.
     fleet.restart(upstream);
-    until("it is listed again", SOON, || phase(other) == Some(json!("SERVING")));
+    until("the member is listed again", TIMEOUT, || phase(other) == Some(json!("SERVING")));
     fleet.stop(upstream);
-    assert_eq!(fleet.ended(upstream, SOON), Some(0));
-    until("it has left", Duration::from_millis(300), || phase(other).is_none());
+    assert_eq!(fleet.ended(upstream, TIMEOUT), Some(0));
+    until("the member has left", Duration::from_millis(300), || phase(other).is_none());
 }
 
 #[test]
-fn a_proxy_leaves_an_instance_that_has_gone_silent() {
+fn a_proxy_switches_away_from_an_unresponsive_instance() {
     let mut fleet = Fleet::default();
     let cluster = Cluster::start(&mut fleet, 3, "");
     let upstream = fleet.start("s-1", &["stand-in", "--name", "s-1"], &[]);
     cluster.register("s-1", fleet.address(upstream));
-    // It watches the first address; the writer may be that one too.
+    // The proxy watches the first address, which may also be the leader's.
     let lists: Vec<String> = cluster.lists.iter().map(ToString::to_string).collect();
     let (proxy, _) = fleet.proxy("p", &lists.join(","), &[]);
     fleet.ready(proxy);
@@ -371,37 +382,37 @@
     let second = fleet.start("s-2", &["stand-in", "--name", "s-2"], &[]);
     cluster.register("s-2", fleet.address(second));
     assert_eq!(cluster.write("/admin/members/leave", r#"{"id":"s-1"}"#).0, 200);
-    // PROTOCOL: news counts as told after 6 s.
-    let took = until("the news", Duration::from_secs(6), || {
+    // PROTOCOL: an update must have been received after 6 s.
+    let took = until("the update", Duration::from_secs(6), || {
         get(fleet.address(proxy), "/api/stock", &ASK) == Some((200, "s-2\n".into()))
     });
-    eprintln!("news past a silent instance after {took:?}");
+    eprintln!("update received past an unresponsive instance after {took:?}");
     fleet.resume(cluster.at[0]);
     thread::sleep(Duration::from_millis(500));
     assert_eq!(get(fleet.address(proxy), "/api/stock", &ASK), Some((200, "s-2\n".into())));
 }
 
-/// A member of this service, in the body of a registration.
-fn of(id: &str, service: &str) -> String {
+/// The body of a registration of a member of `service`.
+fn registration(id: &str, service: &str) -> String {
     let member =
         json!({"id": id, "host_port": free().to_string(), "phase": "SERVING", "service": service});
     json!({ "member": member }).to_string()
 }
 
 #[test]
-fn a_watch_of_one_service_goes_on_through_a_leaders_death_and_hears_of_no_other() {
+fn a_service_watch_survives_a_leader_failure_and_stays_filtered() {
     let mut fleet = Fleet::default();
     let cluster = Cluster::start(&mut fleet, 3, "heartbeat_ms = 200");
-    let writer = cluster.leader(None);
+    let leader = cluster.leader(None);
     let stop = Arc::new(AtomicBool::new(false));
-    let (lists, told_to_stop) = (cluster.lists.clone(), stop.clone());
-    // It begins at the leader and takes the next instance when its watch ends, from the revision that it holds.
-    let watching = thread::spawn(move || {
+    let (lists, stop_watcher) = (cluster.lists.clone(), stop.clone());
+    // Starts at the leader and moves to the next instance when its watch ends, from the last revision received.
+    let watcher = thread::spawn(move || {
         let query = "&service=caf%C3%A9%201";
-        let (mut at, mut held, mut all, mut revisions) = (writer, 0, BTreeSet::new(), Vec::new());
-        let (mut quiet, mut strangers) = (0, Vec::new());
+        let (mut at, mut held, mut all, mut revisions) = (leader, 0, BTreeSet::new(), Vec::new());
+        let (mut empty_updates, mut other_services) = (0, Vec::new());
         let mut watch = Watch::open_with(lists[at], held, query);
-        while !told_to_stop.load(Ordering::Relaxed) {
+        while !stop_watcher.load(Ordering::Relaxed) {
             match watch.next(Duration::from_millis(100)) {
                 Some(message) => {
                     held = revision(&message);
@@ -410,11 +421,12 @@
                         all.clear();
                     }
                     let members = message["members"].as_array().expect("members");
-                    quiet += usize::from(members.is_empty() && message["complete"] == false);
+                    empty_updates +=
+                        usize::from(members.is_empty() && message["complete"] == false);
                     for m in members {
                         let id = m["id"].as_str().expect("an id").to_owned();
                         if m["service"] != "café 1" {
-                            strangers.push(id.clone());
+                            other_services.push(id.clone());
                         }
                         match m["phase"] == "DELETED" {
                             true => drop(all.remove(&id)),
@@ -429,45 +441,45 @@
                 None => {}
             }
         }
-        (all, revisions, quiet, strangers)
+        (all, revisions, empty_updates, other_services)
     });
     let mut expected = BTreeSet::new();
     for i in 0..120 {
         if i == 60 {
-            fleet.kill(cluster.at[writer]);
+            fleet.kill(cluster.at[leader]);
         }
-        // One of the service for two of others; some of it leave, and one of another comes.
+        // One member of the watched service for every two others. Some members move out of the service, others into it.
         let (id, service) = (format!("m-{i}"), ["café 1", "mail", ""][i % 3]);
-        assert_eq!(cluster.write("/admin/members", &of(&id, service)).0, 200, "{id}");
+        assert_eq!(cluster.write("/admin/members", &registration(&id, service)).0, 200, "{id}");
         if service == "café 1" {
             expected.insert(id);
         }
         if i % 12 == 5 {
-            let (gone, come) = (format!("m-{}", i - 5), format!("m-{}", i - 1));
-            assert_eq!(cluster.write("/admin/members", &of(&gone, "mail")).0, 200);
-            assert_eq!(cluster.write("/admin/members", &of(&come, "café 1")).0, 200);
-            expected.remove(&gone);
-            expected.insert(come);
+            let (removed, added) = (format!("m-{}", i - 5), format!("m-{}", i - 1));
+            assert_eq!(cluster.write("/admin/members", &registration(&removed, "mail")).0, 200);
+            assert_eq!(cluster.write("/admin/members", &registration(&added, "café 1")).0, 200);
+            expected.remove(&removed);
+            expected.insert(added);
         }
     }
-    let next = cluster.leader(Some(writer));
-    let (status, answer) = cluster.write("/admin/members", &of("last", "mail"));
+    let next = cluster.leader(Some(leader));
+    let (status, answer) = cluster.write("/admin/members", &registration("last", "mail"));
     assert_eq!(status, 200, "{answer}");
     let last = look(cluster.calls[next], "/admin/stats")["revision"].as_u64().expect("a revision");
-    until("the survivors agree", SOON, || {
+    until("the survivors agree", TIMEOUT, || {
         (0..3)
-            .filter(|i| *i != writer)
+            .filter(|i| *i != leader)
             .all(|i| look(cluster.lists[i], "/-/ready")["revision"] == last)
     });
     thread::sleep(Duration::from_millis(1000));
     stop.store(true, Ordering::Relaxed);
-    let (all, revisions, quiet, strangers) = watching.join().expect("the watcher");
-    assert_eq!(strangers, Vec::<String>::new(), "of other services");
+    let (all, revisions, empty_updates, other_services) = watcher.join().expect("the watcher");
+    assert_eq!(other_services, Vec::<String>::new(), "members of other services were received");
     assert_eq!(all, expected);
-    assert!(revisions.windows(2).all(|w| w[0] < w[1]), "a revision came again or went back");
-    assert_eq!(revisions.last(), Some(&last), "it follows others' changes too");
-    assert!(quiet > 0, "by a heartbeat");
-    // Asked once, it is the same list.
+    assert!(revisions.windows(2).all(|w| w[0] < w[1]), "a revision was repeated or went back");
+    assert_eq!(revisions.last(), Some(&last), "its revision follows changes of other services too");
+    assert!(empty_updates > 0, "no heartbeat was received");
+    // A single request returns the same list.
     let one = look(cluster.lists[next], "/api/targets?service=caf%C3%A9%201");
     assert_eq!(ids(&one).into_iter().collect::<BTreeSet<_>>(), expected);
     assert_eq!((&one["complete"], revision(&one)), (&json!(true), last));
@@ -476,18 +488,18 @@
 }
 
 #[test]
-fn a_member_names_its_service_in_the_file_and_on_the_command_line_or_is_refused_by_that_key() {
+fn an_invalid_service_name_is_refused_with_its_key() {
     let mut fleet = Fleet::default();
     let seed = "[[members]]\nid = \"m-1\"\nhost_port = \"127.0.0.1:9\"\nphase = \"SERVING\"\nservice = \"mail\"";
     let cluster = Cluster::start(&mut fleet, 1, seed);
     let services = cluster.services();
     let args = ["stand-in", "--name", "s-1", "--services", &services, "--service", "shop"];
     fleet.start("s-1", &args, &[]);
-    until("it is listed", SOON, || {
+    until("the member is listed", TIMEOUT, || {
         ids(&look(cluster.lists[0], "/api/targets?service=shop")) == ["s-1"]
     });
     assert_eq!(ids(&look(cluster.lists[0], "/api/targets?service=mail")), ["m-1"]);
-    let (status, answer) = cluster.write("/admin/members", &of("a", "a,b"));
+    let (status, answer) = cluster.write("/admin/members", &registration("a", "a,b"));
     assert_eq!((status, answer.to_string().contains("member.service")), (400, true), "{answer}");
     assert_eq!(get(cluster.lists[0], "/api/targets?service=%ff", &[]).map(|a| a.0), Some(400));
     let check = |args: &[&str]| {
@@ -503,8 +515,8 @@
     assert_eq!((code, error.contains("--service")), (Some(2), true), "{error}");
 }
 
-/// Takes calls as an instance of a version without services does, as far as its answers tell.
-fn old_instance(at: SocketAddr) {
+/// Answers calls as an instance of a version without support for services does.
+fn start_old_instance(at: SocketAddr) {
     let listener = std::net::TcpListener::bind(at).expect("the address is free");
     thread::spawn(move || {
         for stream in listener.incoming() {
@@ -530,28 +542,37 @@
 }
 
 #[test]
-fn the_first_service_waits_until_every_instance_knows_services_and_no_later_one_does() {
+fn the_first_service_requires_every_instance_to_support_services() {
     let mut fleet = Fleet::default();
     let cluster = Cluster::start(&mut fleet, 3, "");
-    // Nobody has heard from the third since it was started; then one is there that says nothing of services.
+    // The third instance has not been heard from since the start; then it answers without announcing support for services.
     cluster.at.iter().for_each(|i| fleet.kill(*i));
     cluster.at[..2].iter().for_each(|i| fleet.restart(*i));
     let refused = |cluster: &Cluster| {
         let leader = cluster.leader(None);
         let (status, answer) =
-            post(cluster.calls[leader], "/admin/members", &of("a", "shop")).expect("an answer");
+            post(cluster.calls[leader], "/admin/members", &registration("a", "shop"))
+                .expect("an answer");
         assert_eq!((status, answer.contains("instances [3]")), (503, true), "{answer}");
     };
     refused(&cluster);
     cluster.register("without", free());
-    old_instance(cluster.calls[2]);
+    start_old_instance(cluster.calls[2]);
     cluster.register("without too", free());
     thread::sleep(Duration::from_millis(500));
     refused(&cluster);
     let mut fleet = Fleet::default();
     let new = Cluster::start(&mut fleet, 3, "");
-    assert_eq!(new.write("/admin/members", &of("a", "shop")).0, 200, "all have said so");
+    assert_eq!(
+        new.write("/admin/members", &registration("a", "shop")).0,
+        200,
+        "all instances support services"
+    );
     new.at.iter().for_each(|i| fleet.kill(*i));
     new.at[..2].iter().for_each(|i| fleet.restart(*i));
-    assert_eq!(new.write("/admin/members", &of("b", "mail")).0, 200, "not the first");
+    assert_eq!(
+        new.write("/admin/members", &registration("b", "mail")).0,
+        200,
+        "only the first service needs every instance"
+    );
 }
