--- a/tests/list_client.rs
+++ b/tests/list_client.rs
@@ -1,5 +1,5 @@
-//! The client of the list against an agent in memory, on paused time: every way in which news may be with the agent,
-//! or count as told, and not with the proxy. Nothing here waits in real time.
+//! The list client against an in-memory agent, on paused time: the cases in which the agent has an update, or the
+//! update counts as notified, and the proxy does not have it yet. Nothing here waits in real time.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -18,76 +18,76 @@
 const GRACE: Duration = Duration::from_secs(1);
 const PUSHED: Mode = Mode::Pushed { grace: GRACE };
 
-/// How news are laid out on the wire.
+/// How updates are laid out on the wire.
 #[derive(Clone, Copy, PartialEq)]
 enum Layout {
     Line,
     Indented,
-    /// Indented, and a byte at a time.
-    Cut,
+    /// Indented, sent one byte at a time.
+    ByteByByte,
 }
 
-/// What happens at the agent.
+/// An event at the agent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Do {
+enum Action {
     /// The list gets its next revision, in which `s-1` drains.
     Change,
-    /// Watches that are open now never say another word.
+    /// Watches that are open now send nothing more.
     Silence,
     /// Watches that are open now end.
     Reset,
-    /// It says nothing to anybody, and learns nothing.
+    /// The agent answers no call and sends nothing.
     Down,
-    /// It is back; calls that hang are answered now, or never.
-    Up { hung_too: bool },
+    /// The agent is back; calls that hung are answered now, or never.
+    Up { answer_hung: bool },
     /// Connections are refused.
     Refuse,
-    /// Connections never come up.
+    /// Connections are never established.
     Stall,
-    /// Connections come up, but only after 0.6 s.
+    /// Connections are established after 0.6 s.
     Late,
-    /// Connections come up again, at all addresses.
+    /// Connections are established again, at all addresses.
     Accept,
-    /// Each call is answered so many milliseconds after it was made.
+    /// Each call is answered this many milliseconds after it was made.
     Slow(u64),
-    /// Calls are answered, and then not a word more is said to them.
-    Mute,
-    /// Connections come up at this address alone; at the others they never do.
+    /// Calls get a response head and nothing after it.
+    NoUpdates,
+    /// Connections are established only at the address with this port; at the others they never are.
     Only(u16),
-    /// It says this on open watches.
-    Say(&'static str),
-    /// Its revisions begin again at this one, as at another discovery.
+    /// The agent sends this text on open watches.
+    SendText(&'static str),
+    /// The revisions restart at this one, as with another discovery.
     Restart(u64),
-    /// The client is told that discovery has moved.
+    /// The client is given a new address of discovery.
     Move,
-    /// The client is told to follow these services.
+    /// The client's filter is set to these services.
     Follow(&'static [&'static str]),
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Door {
+enum ConnectMode {
     Open,
     Refused,
     Stalled,
     Late,
-    Mute,
+    NoUpdates,
     Only(u16),
 }
 
 struct Agent {
     revision: watch::Sender<u64>,
     up: watch::Sender<bool>,
-    /// Raised when open watches fall silent, and when they end.
-    silenced: watch::Sender<u32>,
+    /// Incremented to make open watches fall silent; `reset` is incremented to end them.
+    silence: watch::Sender<u32>,
     reset: watch::Sender<u32>,
-    said: watch::Sender<(u32, &'static str)>,
-    answers_hung: Cell<bool>,
-    takes: Cell<Duration>,
-    door: Cell<Door>,
+    raw_text: watch::Sender<(u32, &'static str)>,
+    answer_hung_calls: Cell<bool>,
+    answer_delay: Cell<Duration>,
+    connect_mode: Cell<ConnectMode>,
     layout: Layout,
-    /// When each call came, and from which index.
+    /// The time and the index of each call.
     calls: RefCell<Vec<(Instant, u64)>>,
-    /// What each call asked for.
+    /// The request target of each call.
     targets: RefCell<Vec<String>>,
 }
 
@@ -96,26 +96,27 @@
         Rc::new(Self {
             revision: watch::Sender::new(41),
             up: watch::Sender::new(true),
-            silenced: watch::Sender::new(0),
+            silence: watch::Sender::new(0),
             reset: watch::Sender::new(0),
-            said: watch::Sender::new((0, "")),
-            answers_hung: Cell::new(false),
-            takes: Cell::default(),
-            door: Cell::new(Door::Open),
+            raw_text: watch::Sender::new((0, "")),
+            answer_hung_calls: Cell::new(false),
+            answer_delay: Cell::default(),
+            connect_mode: Cell::new(ConnectMode::Open),
             layout,
             calls: RefCell::default(),
             targets: RefCell::default(),
         })
     }
 
-    fn news(&self, revision: u64, whole: bool, service: &str) -> String {
+    fn list_text(&self, revision: u64, complete: bool, service: &str) -> String {
         let phase = if revision > 41 { "DRAINING" } else { "SERVING" };
         let mut entry =
             serde_json::json!({"id": "s-1", "host_port": "10.0.0.1:80", "phase": phase});
         if !service.is_empty() {
             entry["service"] = service.into();
         }
-        let list = serde_json::json!({"revision": revision, "complete": whole, "members": [entry]});
+        let list =
+            serde_json::json!({"revision": revision, "complete": complete, "members": [entry]});
         if self.layout == Layout::Line {
             return format!("{list}\n");
         }
@@ -123,19 +124,19 @@
     }
 
     async fn write(&self, stream: &mut DuplexStream, text: &str) -> std::io::Result<()> {
-        let piece = if self.layout == Layout::Cut { 1 } else { text.len() };
-        for piece in text.as_bytes().chunks(piece) {
-            let mut framed = format!("{:x}\r\n", piece.len()).into_bytes();
-            framed.extend_from_slice(piece);
+        let chunk = if self.layout == Layout::ByteByByte { 1 } else { text.len() };
+        for chunk in text.as_bytes().chunks(chunk) {
+            let mut framed = format!("{:x}\r\n", chunk.len()).into_bytes();
+            framed.extend_from_slice(chunk);
             framed.extend_from_slice(b"\r\n");
             stream.write_all(&framed).await?;
         }
         Ok(())
     }
 
-    /// One connection, for as long as it lasts.
-    async fn converse(self: Rc<Self>, mut stream: DuplexStream) -> std::io::Result<()> {
-        let mute = self.door.get() == Door::Mute;
+    /// Serves one connection until it ends.
+    async fn serve_connection(self: Rc<Self>, mut stream: DuplexStream) -> std::io::Result<()> {
+        let no_updates = self.connect_mode.get() == ConnectMode::NoUpdates;
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             head.push(stream.read_u8().await?);
@@ -145,39 +146,39 @@
         let index = index.unwrap_or_else(|| panic!("no index in {head:?}"));
         self.calls.borrow_mut().push((Instant::now(), index));
         let target = head.split(' ').nth(1).expect("a target").to_owned();
-        // The member is of the last service that is asked for.
+        // The member belongs to the last service in the request.
         let service = target.rsplit_once("service=").map_or(String::new(), |s| s.1.to_owned());
         self.targets.borrow_mut().push(target);
-        let (mut silenced, mut reset) = (self.silenced.subscribe(), self.reset.subscribe());
-        let (mut up, mut said) = (self.up.subscribe(), self.said.subscribe());
+        let (mut silence, mut reset) = (self.silence.subscribe(), self.reset.subscribe());
+        let (mut up, mut raw_text) = (self.up.subscribe(), self.raw_text.subscribe());
         let mut revisions = self.revision.subscribe();
         if !*up.borrow_and_update() {
-            up.changed().await.expect("the agent lives");
-            if !self.answers_hung.get() {
+            up.changed().await.expect("the agent is alive");
+            if !self.answer_hung_calls.get() {
                 return std::future::pending().await;
             }
         }
-        sleep(self.takes.get()).await;
+        sleep(self.answer_delay.get()).await;
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
-        if mute {
+        if no_updates {
             return std::future::pending().await;
         }
-        let mut told = index;
+        let mut sent = index;
         loop {
             let now = *revisions.borrow_and_update();
-            if *up.borrow_and_update() && now > told {
-                self.write(&mut stream, &self.news(now, told == 0, &service)).await?;
-                told = now;
+            if *up.borrow_and_update() && now > sent {
+                self.write(&mut stream, &self.list_text(now, sent == 0, &service)).await?;
+                sent = now;
             }
             tokio::select! {
-                changed = revisions.changed() => changed.expect("the agent lives"),
-                changed = up.changed() => changed.expect("the agent lives"),
-                changed = said.changed() => {
-                    changed.expect("the agent lives");
-                    let (_, text) = *said.borrow_and_update();
+                changed = revisions.changed() => changed.expect("the agent is alive"),
+                changed = up.changed() => changed.expect("the agent is alive"),
+                changed = raw_text.changed() => {
+                    changed.expect("the agent is alive");
+                    let (_, text) = *raw_text.borrow_and_update();
                     self.write(&mut stream, text).await?;
                 }
-                _ = silenced.changed() => return std::future::pending().await,
+                _ = silence.changed() => return std::future::pending().await,
                 _ = reset.changed() => return Ok(()),
                 () = sleep(Duration::from_secs(2)), if *self.up.borrow() => {
                     self.write(&mut stream, "\n").await?;
@@ -190,47 +191,53 @@
         self: &Rc<Self>,
         to: SocketAddr,
     ) -> impl Future<Output = std::io::Result<DuplexStream>> + use<> {
-        let this = self.clone();
+        let agent = self.clone();
         async move {
-            if this.door.get() == Door::Late {
+            if agent.connect_mode.get() == ConnectMode::Late {
                 sleep(Duration::from_millis(600)).await;
             }
-            match this.door.get() {
-                Door::Refused => Err(std::io::ErrorKind::ConnectionRefused.into()),
-                Door::Stalled => std::future::pending().await,
-                Door::Only(port) if port != to.port() => std::future::pending().await,
-                Door::Open | Door::Late | Door::Mute | Door::Only(_) => {
-                    let (ours, theirs) = duplex(1 << 16);
-                    spawn_local(async move { drop(this.converse(theirs).await) });
-                    Ok(ours)
+            match agent.connect_mode.get() {
+                ConnectMode::Refused => Err(std::io::ErrorKind::ConnectionRefused.into()),
+                ConnectMode::Stalled => std::future::pending().await,
+                ConnectMode::Only(port) if port != to.port() => std::future::pending().await,
+                ConnectMode::Open
+                | ConnectMode::Late
+                | ConnectMode::NoUpdates
+                | ConnectMode::Only(_) => {
+                    let (client_end, agent_end) = duplex(1 << 16);
+                    spawn_local(async move { drop(agent.serve_connection(agent_end).await) });
+                    Ok(client_end)
                 }
             }
         }
     }
 
-    fn act(&self, what: Do, orders: &mpsc::UnboundedSender<ClientCommand>) {
-        match what {
-            Do::Change => self.revision.send_modify(|r| *r += 1),
-            Do::Silence => self.silenced.send_modify(|n| *n += 1),
-            Do::Reset => self.reset.send_modify(|n| *n += 1),
-            Do::Down => drop(self.up.send_replace(false)),
-            Do::Up { hung_too } => {
-                self.answers_hung.set(hung_too);
+    fn apply(&self, action: Action, commands: &mpsc::UnboundedSender<ClientCommand>) {
+        match action {
+            Action::Change => self.revision.send_modify(|r| *r += 1),
+            Action::Silence => self.silence.send_modify(|n| *n += 1),
+            Action::Reset => self.reset.send_modify(|n| *n += 1),
+            Action::Down => drop(self.up.send_replace(false)),
+            Action::Up { answer_hung } => {
+                self.answer_hung_calls.set(answer_hung);
                 self.up.send_replace(true);
             }
-            Do::Refuse => self.door.set(Door::Refused),
-            Do::Stall => self.door.set(Door::Stalled),
-            Do::Late => self.door.set(Door::Late),
-            Do::Accept => self.door.set(Door::Open),
-            Do::Slow(ms) => self.takes.set(Duration::from_millis(ms)),
-            Do::Mute => self.door.set(Door::Mute),
-            Do::Only(port) => self.door.set(Door::Only(port)),
-            Do::Say(text) => self.said.send_modify(|said| *said = (said.0 + 1, text)),
-            Do::Restart(revision) => drop(self.revision.send_replace(revision)),
-            Do::Move => drop(orders.send(ClientCommand::SetAddresses(vec![address(2)]))),
-            Do::Follow(names) => {
+            Action::Refuse => self.connect_mode.set(ConnectMode::Refused),
+            Action::Stall => self.connect_mode.set(ConnectMode::Stalled),
+            Action::Late => self.connect_mode.set(ConnectMode::Late),
+            Action::Accept => self.connect_mode.set(ConnectMode::Open),
+            Action::Slow(ms) => self.answer_delay.set(Duration::from_millis(ms)),
+            Action::NoUpdates => self.connect_mode.set(ConnectMode::NoUpdates),
+            Action::Only(port) => self.connect_mode.set(ConnectMode::Only(port)),
+            Action::SendText(text) => {
+                self.raw_text.send_modify(|raw_text| *raw_text = (raw_text.0 + 1, text))
+            }
+            Action::Restart(revision) => drop(self.revision.send_replace(revision)),
+            Action::Move => drop(commands.send(ClientCommand::SetAddresses(vec![address(2)]))),
+            Action::Follow(names) => {
                 drop(
-                    orders.send(ClientCommand::SetFilter(Filter::services(names.iter().copied()))),
+                    commands
+                        .send(ClientCommand::SetFilter(Filter::services(names.iter().copied()))),
                 );
             }
         }
@@ -241,98 +248,100 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// What came of a play: each message with its time, and the times at which the list was lost.
+/// What the client reported: each message with its time, and the times at which it was disconnected.
 #[derive(Default)]
-struct Heard {
-    told: Vec<(Instant, Message)>,
-    lost: Vec<Instant>,
+struct Received {
+    updates: Vec<(Instant, Message)>,
+    disconnects: Vec<Instant>,
 }
 
-/// Plays a script of what happens at which millisecond, to a client that holds revision 41, for `length`. One that
-/// has to ask does so half a second after its list was lost.
-async fn play(
+/// Runs a script of actions, each with its time in milliseconds, against a client that holds revision 41, for
+/// `length`. A client on demand polls half a second after each disconnect.
+async fn run_script(
     agent: &Rc<Agent>,
     mode: Mode,
     addresses: u16,
-    script: &[(u64, Do)],
+    script: &[(u64, Action)],
     length: Duration,
-) -> Heard {
-    play_asked_after(Duration::from_millis(500), agent, mode, addresses, script, length).await
+) -> Received {
+    run_script_with_poll_delay(Duration::from_millis(500), agent, mode, addresses, script, length)
+        .await
 }
 
-/// The same, asked so long after its list was lost.
-async fn play_asked_after(
+/// Like [`run_script`], with the poll `wait` after each disconnect.
+async fn run_script_with_poll_delay(
     wait: Duration,
     agent: &Rc<Agent>,
     mode: Mode,
     addresses: u16,
-    script: &[(u64, Do)],
+    script: &[(u64, Action)],
     length: Duration,
-) -> Heard {
+) -> Received {
     let start = Instant::now();
-    let heard = Rc::new(RefCell::new(Heard::default()));
-    let (orders, ordered) = mpsc::unbounded_channel();
+    let received = Rc::new(RefCell::new(Received::default()));
+    let (commands, command_queue) = mpsc::unbounded_channel();
     let all = (1..=addresses).map(address).collect();
-    let follow = WatchPlanner::new(all, mode, 41, start);
-    let (sink, asks) = (heard.clone(), orders.clone());
-    let tell = move |news| match news {
-        ListEvent::Updated(list) => sink.borrow_mut().told.push((Instant::now(), list)),
+    let planner = WatchPlanner::new(all, mode, 41, start);
+    let (sink, poll_commands) = (received.clone(), commands.clone());
+    let on_event = move |event| match event {
+        ListEvent::Updated(list) => sink.borrow_mut().updates.push((Instant::now(), list)),
         ListEvent::Disconnected => {
-            sink.borrow_mut().lost.push(Instant::now());
-            let asks = asks.clone();
+            sink.borrow_mut().disconnects.push(Instant::now());
+            let poll_commands = poll_commands.clone();
             spawn_local(async move {
                 sleep(wait).await;
-                let _ = asks.send(ClientCommand::Poll);
+                let _ = poll_commands.send(ClientCommand::Poll);
             });
         }
     };
-    let connecting = agent.clone();
-    let connect = move |to| connecting.connect(to);
-    let client = spawn_local(client::run(follow, Filter::all(), connect, ordered, tell));
+    let connecting_agent = agent.clone();
+    let connect = move |to| connecting_agent.connect(to);
+    let client = spawn_local(client::run(planner, Filter::all(), connect, command_queue, on_event));
     if mode == Mode::OnDemand {
-        let _ = orders.send(ClientCommand::Poll);
+        let _ = commands.send(ClientCommand::Poll);
     }
-    for (at, what) in script {
+    for (at, action) in script {
         sleep_until(start + Duration::from_millis(*at)).await;
-        agent.act(*what, &orders);
+        agent.apply(*action, &commands);
     }
     sleep_until(start + length).await;
     client.abort();
-    heard.take()
+    received.take()
 }
 
 /// Runs a test on paused time and one thread.
-fn paused<T>(test: impl Future<Output = T>) -> T {
+fn run_paused<T>(test: impl Future<Output = T>) -> T {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = runtime.enable_time().start_paused(true).build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        timeout(Duration::from_secs(120), test).await.expect("it ends")
+        timeout(Duration::from_secs(120), test).await.expect("the test ends within 120 s")
     })
 }
 
-/// Plays the script, and says how long after `known` the drain of revision 42 was told.
-fn heard_after(mode: Mode, layout: Layout, script: &[(u64, Do)], known: u64) -> Duration {
-    paused(async {
+/// Runs the script and returns how long after `due_at` the drain in revision 42 was received.
+fn update_delay(mode: Mode, layout: Layout, script: &[(u64, Action)], due_at: u64) -> Duration {
+    run_paused(async {
         let (start, agent) = (Instant::now(), Agent::new(layout));
-        let heard = play(&agent, mode, 1, script, Duration::from_secs(40)).await;
+        let received = run_script(&agent, mode, 1, script, Duration::from_secs(40)).await;
         let drains = |m: &Message| m.members.iter().any(|m| m.phase == Phase::Draining);
-        let (at, _) = heard.told.iter().find(|(_, m)| drains(m)).expect("the drain is told");
-        let revisions: Vec<u64> = heard.told.iter().map(|(_, m)| m.revision).collect();
+        let (at, _) =
+            received.updates.iter().find(|(_, m)| drains(m)).expect("the drain is received");
+        let revisions: Vec<u64> = received.updates.iter().map(|(_, m)| m.revision).collect();
         assert!(revisions.is_sorted(), "a revision went back: {revisions:?}");
-        at.saturating_duration_since(start + Duration::from_millis(known))
+        at.saturating_duration_since(start + Duration::from_millis(due_at))
     })
 }
 
-/// What happens, and when the news begin to count as told.
-type Case<'a> = (&'a str, &'a [(u64, Do)], u64);
+/// A description, the script, and the time in milliseconds from which the update counts as notified.
+type Case<'a> = (&'a str, &'a [(u64, Action)], u64);
 
 #[test]
-fn news_are_heard_before_sends_on_them_break_the_rule() {
-    use Do::*;
-    let up = |hung_too| Up { hung_too };
+fn a_pushed_list_receives_updates_within_a_quarter_of_the_grace() {
+    use Action::*;
+    let up = |answer_hung| Up { answer_hung };
     let cases: [Case; 12] = [
-        ("a watch that works", &[(5000, Change)], 5000),
-        // Counts 6 s after the silence began, and the agent had it long before.
+        ("a working watch", &[(5000, Change)], 5000),
+        // Due 6 s after the silence began, although the agent had the update long before.
         ("a silent watch", &[(5000, Silence), (5500, Change)], 11_000),
         (
             "silent, and the next call's connection stalls",
@@ -349,14 +358,14 @@
             &[(5000, Silence), (5000, Late), (5500, Change)],
             11_000,
         ),
-        ("reset, and the news right after it", &[(5000, Reset), (5001, Change)], 5001),
+        ("reset, and the update right after it", &[(5000, Reset), (5001, Change)], 5001),
         (
             "reset, and refused for a while",
             &[(5000, Reset), (5000, Refuse), (7000, Change), (7010, Accept)],
             7010,
         ),
         (
-            "down, and open watches are told at the return",
+            "down, and open watches get the update when it is back",
             &[(5000, Down), (5100, Change), (13_000, up(true))],
             13_000,
         ),
@@ -377,22 +386,22 @@
             9000,
         ),
     ];
-    for layout in [Layout::Line, Layout::Indented, Layout::Cut] {
-        for (what, script, known) in cases {
-            let after = heard_after(PUSHED, layout, script, known);
-            assert!(after <= GRACE / 4, "{what}: heard {after:?} later");
+    for layout in [Layout::Line, Layout::Indented, Layout::ByteByByte] {
+        for (label, script, due_at) in cases {
+            let after = update_delay(PUSHED, layout, script, due_at);
+            assert!(after <= GRACE / 4, "{label}: received {after:?} later");
         }
     }
 }
 
 #[test]
-fn a_list_that_is_asked_for_is_lost_when_it_is_silent_and_asked_for_again() {
-    use Do::*;
-    // Its caller asks half a second after each loss.
+fn an_on_demand_list_reports_the_disconnect_and_polls_again() {
+    use Action::*;
+    // The caller polls half a second after each disconnect.
     let cases: [Case; 5] = [
-        ("a watch that works", &[(5000, Change)], 5000),
+        ("a working watch", &[(5000, Change)], 5000),
         ("a silent watch", &[(5000, Silence), (5500, Change)], 11_000),
-        ("reset, and the news right after it", &[(5000, Reset), (5001, Change)], 5001),
+        ("reset, and the update right after it", &[(5000, Reset), (5001, Change)], 5001),
         (
             "reset, and refused for a while",
             &[(5000, Reset), (5000, Refuse), (7000, Change), (7010, Accept)],
@@ -400,108 +409,121 @@
         ),
         ("moved", &[(5000, Silence), (5500, Change), (5500, Move)], 9500),
     ];
-    for layout in [Layout::Line, Layout::Indented, Layout::Cut] {
-        for (what, script, known) in cases {
-            let after = heard_after(Mode::OnDemand, layout, script, known);
-            assert!(after <= GRACE / 2, "{what}: heard {after:?} later");
+    for layout in [Layout::Line, Layout::Indented, Layout::ByteByByte] {
+        for (label, script, due_at) in cases {
+            let after = update_delay(Mode::OnDemand, layout, script, due_at);
+            assert!(after <= GRACE / 2, "{label}: received {after:?} later");
         }
     }
-    paused(async {
+    run_paused(async {
         let agent = Agent::new(Layout::Line);
-        let script = [(0, Do::Down), (4500, Do::Up { hung_too: false }), (5000, Do::Change)];
-        let heard = play(&agent, Mode::OnDemand, 1, &script, Duration::from_secs(30)).await;
+        let script =
+            [(0, Action::Down), (4500, Action::Up { answer_hung: false }), (5000, Action::Change)];
+        let received =
+            run_script(&agent, Mode::OnDemand, 1, &script, Duration::from_secs(30)).await;
         let at: Vec<u64> =
             agent.calls.borrow().iter().map(|c| c.0.elapsed().as_millis() as u64).collect();
         let gaps: Vec<u64> = at.windows(2).map(|c| c[0] - c[1]).collect();
         assert_eq!(
             gaps, [1500; 3],
-            "one beside each that hangs for half of its time, and none once one speaks"
+            "one more call for each that hangs for half of its time, and none once one is answered"
         );
-        assert!(heard.lost.is_empty(), "nothing ended");
-        assert_eq!(heard.told.len(), 1);
+        assert!(received.disconnects.is_empty(), "nothing was disconnected");
+        assert_eq!(received.updates.len(), 1);
     });
-    paused(async {
+    run_paused(async {
         let agent = Agent::new(Layout::Line);
-        let script = [(0, Do::Refuse), (4600, Do::Accept), (5000, Do::Change)];
-        let heard = play(&agent, Mode::OnDemand, 3, &script, Duration::from_secs(30)).await;
-        // Each of the three addresses is tried before the caller hears of it; then it says when.
-        assert_eq!(heard.lost.len(), 10, "every half second, and not oftener");
-        assert_eq!(heard.told.len(), 1);
+        let script = [(0, Action::Refuse), (4600, Action::Accept), (5000, Action::Change)];
+        let received =
+            run_script(&agent, Mode::OnDemand, 3, &script, Duration::from_secs(30)).await;
+        // Each of the three addresses is tried before the disconnect is reported; the caller then decides when to poll.
+        assert_eq!(received.disconnects.len(), 10, "one disconnect every half second, and no more");
+        assert_eq!(received.updates.len(), 1);
     });
 }
 
-/// STANDING and the letter after it: whatever became of calls, a change counts as told 6 s after discovery had it
-/// and could be reached. Random troubles, the last of which is over at some moment; asked for as late as the
-/// module ever does.
+/// STANDING and the letter after it: whatever happened to calls, a change counts as notified 6 s after discovery had
+/// it and could be reached. Runs random faults that all end at some moment, with the longest poll delay that the
+/// module uses.
 #[test]
-fn a_change_is_told_within_six_seconds_of_the_last_trouble() {
-    use Do::*;
+fn a_change_is_received_within_six_seconds_of_the_last_fault() {
+    use Action::*;
     for (mode, addresses) in
         [(PUSHED, 1), (PUSHED, 3), (PUSHED, 7), (Mode::OnDemand, 1), (Mode::OnDemand, 3)]
     {
         for seed in 0..300_u64 {
             let mut random = oorandom::Rand64::new(u128::from(seed));
-            let mut draw = |n: u64| random.rand_range(0..n);
+            let mut random_below = |n: u64| random.rand_range(0..n);
             let mut script = Vec::new();
             let mut at = 0;
-            for _ in 0..1 + draw(6) {
-                at += draw(4000);
-                let port = 1 + draw(u64::from(addresses)) as u16;
-                let trouble = [Silence, Reset, Refuse, Stall, Late, Mute, Down, Accept, Only(port)];
-                script.push((at, trouble[draw(9) as usize]));
+            for _ in 0..1 + random_below(6) {
+                at += random_below(4000);
+                let port = 1 + random_below(u64::from(addresses)) as u16;
+                let faults =
+                    [Silence, Reset, Refuse, Stall, Late, NoUpdates, Down, Accept, Only(port)];
+                script.push((at, faults[random_below(9) as usize]));
             }
-            // The last moment of trouble: what was called until now may hang for ever.
-            at += draw(4000);
-            script.extend([(at, Up { hung_too: false }), (at, Accept)]);
-            script.push(match draw(4) {
+            // The faults end here; calls made until now may hang forever.
+            at += random_below(4000);
+            script.extend([(at, Up { answer_hung: false }), (at, Accept)]);
+            script.push(match random_below(4) {
                 0 => (at, Silence),
                 1 => (at, Reset),
-                2 => (at, Only(1 + draw(u64::from(addresses)) as u16)),
+                2 => (at, Only(1 + random_below(u64::from(addresses)) as u16)),
                 _ => (at, Accept),
             });
-            let known = (at + draw(4000)).saturating_sub(2000);
-            script.push((known, Change));
+            let due_at = (at + random_below(4000)).saturating_sub(2000);
+            script.push((due_at, Change));
             script.sort_by_key(|s| s.0);
-            let after = paused(async {
+            let after = run_paused(async {
                 let (start, agent) = (Instant::now(), Agent::new(Layout::Line));
                 let length = Duration::from_millis(at + 30_000);
                 let wait = Duration::from_millis(2000);
-                let heard = play_asked_after(wait, &agent, mode, addresses, &script, length).await;
-                let told = heard.told.iter().find(|(_, m)| m.revision >= 42);
-                let told = told.map(|(told, _)| *told).unwrap_or(start + length);
-                told.saturating_duration_since(start + Duration::from_millis(known.max(at)))
+                let received =
+                    run_script_with_poll_delay(wait, &agent, mode, addresses, &script, length)
+                        .await;
+                let update = received.updates.iter().find(|(_, m)| m.revision >= 42);
+                let received_at = update.map(|(time, _)| *time).unwrap_or(start + length);
+                received_at.saturating_duration_since(start + Duration::from_millis(due_at.max(at)))
             });
-            let what = format!("{mode:?}, {addresses} addresses, seed {seed}");
-            assert!(after <= Duration::from_secs(6), "{what}: heard {after:?} later; {script:?}");
+            let label = format!("{mode:?}, {addresses} addresses, seed {seed}");
+            assert!(
+                after <= Duration::from_secs(6),
+                "{label}: received {after:?} later; {script:?}"
+            );
         }
     }
 }
 
 #[test]
-fn a_service_that_takes_long_to_answer_is_heard_however_often_it_is_called() {
-    // A bank that starts again finds its discovery slow; and one whose watches have fallen silent.
-    let scripts: [&[(u64, Do)]; 2] = [&[], &[(5000, Do::Silence)]];
+fn a_slow_list_service_is_received_despite_repeated_calls() {
+    // A fleet that restarts while discovery is slow, and one whose watches have fallen silent.
+    let scripts: [&[(u64, Action)]; 2] = [&[], &[(5000, Action::Silence)]];
     let pushed = |ms| Mode::Pushed { grace: Duration::from_millis(ms) };
     for mode in [pushed(100), pushed(500), PUSHED, pushed(4000), Mode::OnDemand] {
         for addresses in [1, 3] {
-            for takes in [500, 1100, 2200, 2900] {
+            for answer_delay in [500, 1100, 2200, 2900] {
                 for script in scripts {
-                    let begins = script.last().map_or(0, |(at, _)| *at);
+                    let fault_at = script.last().map_or(0, |(at, _)| *at);
                     let mut script = script.to_vec();
-                    script.extend([(begins, Do::Slow(takes)), (begins, Do::Change)]);
+                    script.extend([
+                        (fault_at, Action::Slow(answer_delay)),
+                        (fault_at, Action::Change),
+                    ]);
                     let agent = Agent::new(Layout::Line);
-                    let (heard, after) = paused(async {
+                    let (received, after) = run_paused(async {
                         let start = Instant::now();
                         let length = Duration::from_secs(20);
-                        let heard = play(&agent, mode, addresses, &script, length).await;
-                        let at = heard.told.first().map(|(at, _)| *at - start);
-                        (heard, at.map(|at| at - Duration::from_millis(begins)))
+                        let received = run_script(&agent, mode, addresses, &script, length).await;
+                        let at = received.updates.first().map(|(at, _)| *at - start);
+                        (received, at.map(|at| at - Duration::from_millis(fault_at)))
                     });
-                    let what = format!("{mode:?}, {addresses} addresses, {takes} ms, {script:?}");
-                    let after = after.unwrap_or_else(|| panic!("{what}: never heard"));
-                    let most = if begins > 0 { 3500 + takes } else { takes };
-                    assert!(after <= Duration::from_millis(most + 10), "{what}: {after:?}");
-                    assert_eq!(heard.told.len(), 1, "{what}");
+                    let label =
+                        format!("{mode:?}, {addresses} addresses, {answer_delay} ms, {script:?}");
+                    let after = after.unwrap_or_else(|| panic!("{label}: never received"));
+                    let most = if fault_at > 0 { 3500 + answer_delay } else { answer_delay };
+                    assert!(after <= Duration::from_millis(most + 10), "{label}: {after:?}");
+                    assert_eq!(received.updates.len(), 1, "{label}");
                 }
             }
         }
@@ -509,7 +531,7 @@
 }
 
 #[test]
-fn what_is_no_list_ends_the_watch_and_leaves_the_list_as_it_was() {
+fn an_invalid_list_ends_the_watch_and_changes_nothing() {
     let endless: &'static str = Box::leak(format!("{{\"a\":\"{}", "x".repeat(5 << 20)).into());
     let bad = [
         "[1]\n",
@@ -520,102 +542,115 @@
         endless,
     ];
     for text in bad {
-        paused(async {
+        run_paused(async {
             let agent = Agent::new(Layout::Indented);
-            let script = [(5000, Do::Say(text)), (6000, Do::Change)];
-            let heard = play(&agent, PUSHED, 1, &script, Duration::from_secs(10)).await;
+            let script = [(5000, Action::SendText(text)), (6000, Action::Change)];
+            let received = run_script(&agent, PUSHED, 1, &script, Duration::from_secs(10)).await;
             let short = &text[..text.len().min(60)];
-            let revisions: Vec<u64> = heard.told.iter().map(|(_, m)| m.revision).collect();
-            assert_eq!(revisions, [42], "{short}: nothing of it is told, and what follows is");
+            let revisions: Vec<u64> = received.updates.iter().map(|(_, m)| m.revision).collect();
+            assert_eq!(revisions, [42], "{short}: only the update after it is reported");
             let calls: Vec<u64> = agent.calls.borrow().iter().map(|c| c.1).collect();
-            assert_eq!(calls, [41, 41], "{short}: one call more, from what is held");
+            assert_eq!(calls, [41, 41], "{short}: one more call, from the revision held");
         });
     }
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_no_longer_counts_as_serving() {
-    paused(async {
+fn an_unreadable_entry_gets_the_unknown_phase() {
+    run_paused(async {
         let agent = Agent::new(Layout::Line);
         let text = "{\"revision\":42,\"members\":[{\"id\":\"s-1\",\"phase\":[7]},{\"id\":3}]}\n";
-        let heard = play(&agent, PUSHED, 1, &[(5000, Do::Say(text))], GRACE * 6).await;
-        let told: Vec<_> = heard.told[0].1.members.iter().map(|m| (&*m.id, m.phase)).collect();
-        assert_eq!(told, [("s-1", Phase::Unknown)]);
+        let received =
+            run_script(&agent, PUSHED, 1, &[(5000, Action::SendText(text))], GRACE * 6).await;
+        let updates: Vec<_> =
+            received.updates[0].1.members.iter().map(|m| (&*m.id, m.phase)).collect();
+        assert_eq!(updates, [("s-1", Phase::Unknown)]);
     });
 }
 
 #[test]
-fn another_discovery_is_asked_for_its_whole_list_and_believed_once() {
-    paused(async {
+fn another_discovery_is_asked_for_its_full_list_once() {
+    run_paused(async {
         let agent = Agent::new(Layout::Line);
-        // It counts from 7: asked for what came after 41 it would say nothing.
-        let script =
-            [(5000, Do::Restart(7)), (5000, Do::Move), (8000, Do::Restart(6)), (8000, Do::Reset)];
-        let heard = play(&agent, PUSHED, 1, &script, Duration::from_secs(10)).await;
-        let told: Vec<_> = heard.told.iter().map(|(_, m)| (m.revision, m.complete)).collect();
-        assert_eq!(told, [(7, true)]);
+        // Its revisions start at 7: asked for changes after 41, it would send nothing.
+        let script = [
+            (5000, Action::Restart(7)),
+            (5000, Action::Move),
+            (8000, Action::Restart(6)),
+            (8000, Action::Reset),
+        ];
+        let received = run_script(&agent, PUSHED, 1, &script, Duration::from_secs(10)).await;
+        let updates: Vec<_> =
+            received.updates.iter().map(|(_, m)| (m.revision, m.complete)).collect();
+        assert_eq!(updates, [(7, true)]);
         let calls: Vec<u64> = agent.calls.borrow().iter().map(|c| c.1).collect();
         assert_eq!(calls, [41, 0, 7]);
     });
 }
 
 #[test]
-fn calls_stay_few_and_steady_however_long_discovery_is_down() {
-    paused(async {
+fn the_call_rate_stays_bounded_while_discovery_is_down() {
+    run_paused(async {
         let agent = Agent::new(Layout::Line);
-        let script = [(0, Do::Down), (60_000, Do::Up { hung_too: false })];
-        let heard = play(&agent, PUSHED, 1, &script, Duration::from_secs(70)).await;
-        assert!(heard.told.is_empty() && heard.lost.is_empty());
+        let script = [(0, Action::Down), (60_000, Action::Up { answer_hung: false })];
+        let received = run_script(&agent, PUSHED, 1, &script, Duration::from_secs(70)).await;
+        assert!(received.updates.is_empty() && received.disconnects.is_empty());
         let calls = agent.calls.borrow();
         let gaps = calls.windows(2).map(|c| c[1].0 - c[0].0);
         assert_eq!(gaps.min(), Some(GRACE / 4), "a quarter of the grace between two calls");
         assert!(calls.len() <= 242, "{} calls in 60 s", calls.len());
     });
-    // A quiet watch in order is left alone.
-    paused(async {
+    // A working watch without changes causes no further call.
+    run_paused(async {
         let agent = Agent::new(Layout::Line);
-        play(&agent, PUSHED, 1, &[], Duration::from_secs(60)).await;
+        run_script(&agent, PUSHED, 1, &[], Duration::from_secs(60)).await;
         assert_eq!(agent.calls.borrow().len(), 1);
     });
-    // Instances of a list service are many proxies' own: the longer they say nothing, the fewer calls.
-    paused(async {
+    // Instances of a list service are shared by many proxies: the longer they are silent, the fewer calls are made.
+    run_paused(async {
         let agent = Agent::new(Layout::Line);
-        play(&agent, PUSHED, 3, &[(0, Do::Refuse)], Duration::from_secs(60)).await;
-        agent.door.set(Door::Open);
-        let heard = play(&agent, PUSHED, 3, &[(0, Do::Down)], Duration::from_secs(60)).await;
-        assert!(heard.told.is_empty());
+        run_script(&agent, PUSHED, 3, &[(0, Action::Refuse)], Duration::from_secs(60)).await;
+        agent.connect_mode.set(ConnectMode::Open);
+        let received =
+            run_script(&agent, PUSHED, 3, &[(0, Action::Down)], Duration::from_secs(60)).await;
+        assert!(received.updates.is_empty());
         let calls = agent.calls.borrow().len();
         assert!((30..=160).contains(&calls), "{calls} calls in 60 s");
     });
 }
 
 #[test]
-fn a_client_that_follows_other_services_is_told_their_whole_list_and_nothing_older() {
-    let follow = |names| Do::Follow(names);
+fn changing_the_service_filter_gets_the_full_list_and_nothing_older() {
+    let follow = |names| Action::Follow(names);
     for (mode, layout) in
-        [(PUSHED, Layout::Line), (Mode::OnDemand, Layout::Line), (PUSHED, Layout::Cut)]
+        [(PUSHED, Layout::Line), (Mode::OnDemand, Layout::Line), (PUSHED, Layout::ByteByByte)]
     {
-        paused(async {
+        run_paused(async {
             let agent = Agent::new(layout);
             let script = [
                 (5000, follow(&["shop"])),
                 (6000, follow(&["shop"])),
-                (7000, Do::Change),
+                (7000, Action::Change),
                 (8000, follow(&["a b", "shop"])),
-                // One that is behind by now: left aside until it has caught up.
-                (9000, Do::Restart(40)),
+                // An instance that is behind by now is ignored until it has caught up.
+                (9000, Action::Restart(40)),
                 (9000, follow(&["mail"])),
-                (12_000, Do::Restart(43)),
+                (12_000, Action::Restart(43)),
             ];
-            let heard = play(&agent, mode, 1, &script, Duration::from_secs(20)).await;
-            let told: Vec<_> = heard.told.iter().map(|(_, m)| (m.revision, m.complete)).collect();
-            // The same revision is told again where the services are others.
-            assert_eq!(told, [(41, true), (42, false), (42, true), (43, true)], "{mode:?}");
+            let received = run_script(&agent, mode, 1, &script, Duration::from_secs(20)).await;
+            let updates: Vec<_> =
+                received.updates.iter().map(|(_, m)| (m.revision, m.complete)).collect();
+            // The same revision is reported again when the services differ.
+            assert_eq!(updates, [(41, true), (42, false), (42, true), (43, true)], "{mode:?}");
             let service = |m: &Message| m.members.iter().map(|m| m.service.clone()).collect();
-            let services: Vec<Vec<String>> = heard.told.iter().map(|(_, m)| service(m)).collect();
+            let services: Vec<Vec<String>> =
+                received.updates.iter().map(|(_, m)| service(m)).collect();
             assert_eq!(services, [["shop"], ["shop"], ["shop"], ["mail"]]);
             let targets = agent.targets.borrow();
-            assert_eq!(targets[0], "/api/targets?stream=1&index=41", "as it always was");
+            assert_eq!(
+                targets[0], "/api/targets?stream=1&index=41",
+                "without a filter the target names no service"
+            );
             assert_eq!(targets[1], "/api/targets?stream=1&index=0&service=shop");
             assert_eq!(targets[2], "/api/targets?stream=1&index=0&service=a%20b&service=shop");
             let mail = "/api/targets?stream=1&index=0&service=mail";
@@ -625,34 +660,36 @@
 }
 
 #[test]
-fn a_list_that_knows_no_services_is_narrowed_and_one_of_all_stands_for_the_whole() {
-    paused(async {
+fn unfiltered_answers_are_filtered_and_changes_since_zero_are_a_full_list() {
+    run_paused(async {
         let agent = Agent::new(Layout::Line);
-        // Its answers have no service, whatever was asked for.
+        // Its answers are not filtered, whatever was requested.
         let changes = "{\"revision\":42,\"members\":[{\"id\":\"s-1\",\"phase\":\"SERVING\"},\
                        {\"id\":\"s-2\",\"phase\":\"SERVING\",\"service\":\"shop\"}]}\n";
-        let script = [(4000, Do::Follow(&["shop"])), (5000, Do::Say(changes))];
-        let heard = play(&agent, PUSHED, 1, &script, Duration::from_secs(6)).await;
-        let told: Vec<_> = heard.told[1].1.members.iter().map(|m| (&*m.id, m.phase)).collect();
-        assert_eq!(told, [("s-1", Phase::Deleted), ("s-2", Phase::Serving)]);
+        let script = [(4000, Action::Follow(&["shop"])), (5000, Action::SendText(changes))];
+        let received = run_script(&agent, PUSHED, 1, &script, Duration::from_secs(6)).await;
+        let updates: Vec<_> =
+            received.updates[1].1.members.iter().map(|m| (&*m.id, m.phase)).collect();
+        assert_eq!(updates, [("s-1", Phase::Deleted), ("s-2", Phase::Serving)]);
     });
-    paused(async {
+    run_paused(async {
         let agent = Agent::new(Layout::Line);
-        let (orders, ordered) = mpsc::unbounded_channel();
-        let (tell, mut told) = mpsc::unbounded_channel();
-        // All changes there were, told to one that holds a list of other services.
+        let (commands, command_queue) = mpsc::unbounded_channel();
+        let (on_event, mut updates) = mpsc::unbounded_channel();
+        // All changes since revision 0, sent to a client that holds a list of other services.
         let changes = "{\"revision\":41,\"members\":[{\"id\":\"s-1\",\"phase\":\"DELETED\"},\
                        {\"id\":\"s-2\",\"phase\":\"SERVING\"}]}\n";
         agent.revision.send_replace(0);
-        let follow =
+        let planner =
             WatchPlanner::new(vec![address(1)], PUSHED, 41, Instant::now()).requesting_full_list();
-        let connecting = agent.clone();
-        let connect = move |to| connecting.connect(to);
-        let tell = move |news| drop(tell.send(news));
-        let client = spawn_local(client::run(follow, Filter::all(), connect, ordered, tell));
+        let connecting_agent = agent.clone();
+        let connect = move |to| connecting_agent.connect(to);
+        let on_event = move |event| drop(on_event.send(event));
+        let client =
+            spawn_local(client::run(planner, Filter::all(), connect, command_queue, on_event));
         sleep(Duration::from_millis(100)).await;
-        agent.act(Do::Say(changes), &orders);
-        let Some(ListEvent::Updated(list)) = told.recv().await else { panic!("told") };
+        agent.apply(Action::SendText(changes), &commands);
+        let Some(ListEvent::Updated(list)) = updates.recv().await else { panic!("no update") };
         let ids: Vec<&str> = list.members.iter().map(|m| &*m.id).collect();
         assert_eq!((list.revision, list.complete, ids), (41, true, vec!["s-2"]));
         assert_eq!(agent.calls.borrow()[0].1, 0);
