--- a/tests/list_service.rs
+++ b/tests/list_service.rs
@@ -35,18 +35,19 @@
     let (lists, stop_watcher) = (cluster.lists.clone(), stop.clone());
     // Starts at the leader and moves to the next instance when its watch ends.
     let watcher = thread::spawn(move || {
-        let (mut at, mut held, mut seen, mut revisions) = (leader, 0, BTreeSet::new(), Vec::new());
-        let mut watch = Watch::open(lists[at], held);
+        let (mut at, mut last_revision, mut seen, mut revisions) =
+            (leader, 0, BTreeSet::new(), Vec::new());
+        let mut watch = Watch::open(lists[at], last_revision);
         while !stop_watcher.load(Ordering::Relaxed) {
             match watch.next(Duration::from_millis(100)) {
                 Some(message) => {
-                    held = revision(&message);
-                    revisions.push(held);
+                    last_revision = revision(&message);
+                    revisions.push(last_revision);
                     seen.extend(ids(&message));
                 }
                 None if TcpStream::connect(lists[at]).is_err() => {
                     at = (at + 1) % lists.len();
-                    watch = Watch::open(lists[at], held);
+                    watch = Watch::open(lists[at], last_revision);
                 }
                 None => {}
             }
@@ -122,7 +123,7 @@
 #[test]
 fn a_stopping_leader_transfers_leadership_before_it_exits() {
     let mut fleet = Fleet::default();
-    // Long enough that no follower starts an election because the leader has gone.
+    // Long enough that no follower starts an election of its own when the leader stops.
     let cluster = Cluster::start(&mut fleet, 3, "election_ms = 2000");
     cluster.register("before", free());
     let leader = cluster.leader(None);
@@ -180,11 +181,11 @@
     let mut ahead = Watch::open(cluster.lists[follower], last - 1);
     let update = ahead.next(TIMEOUT).expect("an update after catching up");
     assert_eq!(revision(&update), last);
-    let mut held = before;
-    while held < last {
+    let mut last_revision = before;
+    while last_revision < last {
         let update = watch.next(TIMEOUT).expect("the watch continues");
-        assert!(revision(&update) > held, "the revision went back");
-        held = revision(&update);
+        assert!(revision(&update) > last_revision, "the revision went back");
+        last_revision = revision(&update);
     }
     assert_eq!(cluster.leader(None), leader, "a follower that resumes does not replace the leader");
 }
@@ -409,14 +410,15 @@
     // Starts at the leader and moves to the next instance when its watch ends, from the last revision received.
     let watcher = thread::spawn(move || {
         let query = "&service=caf%C3%A9%201";
-        let (mut at, mut held, mut all, mut revisions) = (leader, 0, BTreeSet::new(), Vec::new());
+        let (mut at, mut last_revision, mut all, mut revisions) =
+            (leader, 0, BTreeSet::new(), Vec::new());
         let (mut empty_updates, mut other_services) = (0, Vec::new());
-        let mut watch = Watch::open_with(lists[at], held, query);
+        let mut watch = Watch::open_with(lists[at], last_revision, query);
         while !stop_watcher.load(Ordering::Relaxed) {
             match watch.next(Duration::from_millis(100)) {
                 Some(message) => {
-                    held = revision(&message);
-                    revisions.push(held);
+                    last_revision = revision(&message);
+                    revisions.push(last_revision);
                     if message["complete"] == true {
                         all.clear();
                     }
@@ -436,7 +438,7 @@
                 }
                 None if TcpStream::connect(lists[at]).is_err() => {
                     at = (at + 1) % lists.len();
-                    watch = Watch::open_with(lists[at], held, query);
+                    watch = Watch::open_with(lists[at], last_revision, query);
                 }
                 None => {}
             }
@@ -545,7 +547,7 @@
 fn the_first_service_requires_every_instance_to_support_services() {
     let mut fleet = Fleet::default();
     let cluster = Cluster::start(&mut fleet, 3, "");
-    // The third instance has not been heard from since the start; then it answers without announcing support for services.
+    // The third instance has not answered since the restart; later it answers without announcing support for services.
     cluster.at.iter().for_each(|i| fleet.kill(*i));
     cluster.at[..2].iter().for_each(|i| fleet.restart(*i));
     let refused = |cluster: &Cluster| {
--- a/tests/releases.rs
+++ b/tests/releases.rs
@@ -26,8 +26,8 @@
 /// One request: when it was made, and its answer as status and name of the upstream; `None` for no answer.
 type Exchange = (Instant, Option<(u16, String)>);
 
-/// Clients that send requests continuously. `slowest` is the longest time in microseconds that one of them waited for an
-/// answer of the old version.
+/// Clients that send requests continuously. `slowest` is the longest time in microseconds that one of them waited for
+/// an answer of the old version.
 struct Load {
     stop: Arc<AtomicBool>,
     exchanges: Arc<Mutex<Vec<Exchange>>>,
@@ -73,8 +73,8 @@
     (lost, failed)
 }
 
-/// Part of a plan that disables the latency gate: on a busy machine the latencies of two windows may differ by any ratio,
-/// whatever is released.
+/// Part of a plan that disables the latency gate: on a busy machine the latencies of two windows may differ by any
+/// ratio, whatever is released.
 const NO_LATENCY_GATE: &str = "[gates]\np99_ratio = 1000000";
 
 /// A running fleet: four old upstreams in the list, and two proxies.
