--- a/tests/soak/clients.rs
+++ b/tests/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of the proxies: such that stay for their answers, and such that leave.
+//! Clients of the proxies; some wait for their answers and some close early.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -13,32 +13,33 @@
 
 use crate::record::{Class, End, Record, Request};
 
-/// An answer may come this long after its time, and the rest is for this machine.
-pub const LATE: Duration = Duration::from_millis(500);
-const BUSY: Duration = Duration::from_millis(200);
+/// An answer may arrive this long after its deadline.
+pub const ANSWER_GRACE: Duration = Duration::from_millis(500);
+/// Extra time for a busy test machine.
+const MACHINE_SLACK: Duration = Duration::from_millis(200);
 
-/// How a client goes about its requests.
+/// How a client uses its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
-    /// Keeps its connection for as long as it stays open.
-    Keeps,
-    /// A connection for each request.
-    Fresh,
-    /// Writes in pieces, on a connection that it keeps.
-    Slow,
-    /// Closes at some moment without waiting for the answer.
-    Leaves,
+pub enum Behavior {
+    /// Reuses its connection for as long as it stays open.
+    KeepAlive,
+    /// Opens a connection for each request.
+    ConnectionPerRequest,
+    /// Writes each request in two parts, on a reused connection.
+    SlowWrite,
+    /// Closes the connection without waiting for the answer.
+    EarlyClose,
 }
 
-/// How a client that leaves ends its connection.
+/// How a client that closes early ends its connection.
 #[derive(Clone, Copy, Debug)]
-enum Departure {
-    Whole,
+enum EarlyEnd {
+    Close,
     Reset,
-    Half,
+    HalfClose,
 }
 
-/// The settings' deadlines.
+/// The deadline of each class in the settings.
 pub fn deadline(class: Class) -> Duration {
     Duration::from_millis(match class {
         Class::Read => 800,
@@ -52,7 +53,7 @@
     pub name: String,
     pub proxy: usize,
     pub address: SocketAddr,
-    pub manner: Manner,
+    pub behavior: Behavior,
     pub record: Arc<Record>,
     pub stop: Arc<AtomicBool>,
     random: StdRng,
@@ -63,21 +64,21 @@
     pub fn new(
         name: String,
         (proxy, address): (usize, SocketAddr),
-        manner: Manner,
+        behavior: Behavior,
         seed: u64,
         record: Arc<Record>,
         stop: Arc<AtomicBool>,
     ) -> Self {
         let random = StdRng::seed_from_u64(seed);
-        Self { name, proxy, address, manner, record, stop, random, number: 0 }
+        Self { name, proxy, address, behavior, record, stop, random, number: 0 }
     }
 
-    /// Sends requests until it is told to stop.
+    /// Sends requests until `stop` is set.
     pub fn run(mut self) {
         let mut connection: Option<(TcpStream, bool)> = None;
         while !self.stop.load(Ordering::Relaxed) {
             thread::sleep(Duration::from_millis(self.random.gen_range(0..60)));
-            let (mut stream, fresh) = match connection.take() {
+            let (mut stream, new_connection) = match connection.take() {
                 Some((stream, _)) => (stream, false),
                 None => match TcpStream::connect(self.address) {
                     Ok(stream) => (stream, true),
@@ -85,14 +86,14 @@
                 },
             };
             let _ = stream.set_nodelay(true);
-            let stays = match self.manner {
-                Manner::Leaves => {
-                    self.ask_and_leave(stream, fresh);
+            let reusable = match self.behavior {
+                Behavior::EarlyClose => {
+                    self.send_and_close(stream, new_connection);
                     continue;
                 }
-                _ => self.ask(&mut stream, fresh),
+                _ => self.exchange(&mut stream, new_connection),
             };
-            if stays && self.manner != Manner::Fresh {
+            if reusable && self.behavior != Behavior::ConnectionPerRequest {
                 connection = Some((stream, false));
             }
         }
@@ -124,7 +125,7 @@
     }
 
     fn write(&mut self, stream: &mut TcpStream, text: &[u8]) -> std::io::Result<()> {
-        if self.manner != Manner::Slow {
+        if self.behavior != Behavior::SlowWrite {
             return stream.write_all(text);
         }
         let cut = self.random.gen_range(1..text.len());
@@ -133,30 +134,38 @@
         stream.write_all(&text[cut..])
     }
 
-    fn sent(&self, id: &str, class: Class, fresh: bool) {
+    fn record_sent(&self, id: &str, class: Class, new_connection: bool) {
         let (proxy, deadline) = (self.proxy, deadline(class));
         let sent = Instant::now();
-        let request = Request { proxy, class, deadline, sent, fresh, left: None, end: None };
-        self.record.sent(id, request);
+        let request = Request {
+            proxy,
+            class,
+            deadline,
+            sent,
+            new_connection,
+            client_closed: None,
+            end: None,
+        };
+        self.record.request_sent(id, request);
     }
 
-    /// One request and its answer; whether the connection may be used again.
-    fn ask(&mut self, stream: &mut TcpStream, fresh: bool) -> bool {
+    /// Sends a request and reads its answer; returns whether the connection can be reused.
+    fn exchange(&mut self, stream: &mut TcpStream, new_connection: bool) -> bool {
         let (id, class, text) = self.request();
         if self.write(stream, &text).is_err() {
-            // Not all of it was written: it was not taken.
+            // The request was not written in full, so it does not count as sent.
             return false;
         }
-        self.sent(&id, class, fresh);
-        let _ = stream.set_read_timeout(Some(deadline(class) + LATE + BUSY));
-        let (end, stays) = answer(stream);
-        self.record.ended(&id, end);
-        stays
+        self.record_sent(&id, class, new_connection);
+        let _ = stream.set_read_timeout(Some(deadline(class) + ANSWER_GRACE + MACHINE_SLACK));
+        let (end, reusable) = read_answer(stream);
+        self.record.request_ended(&id, end);
+        reusable
     }
 
-    fn ask_and_leave(&mut self, mut stream: TcpStream, fresh: bool) {
+    fn send_and_close(&mut self, mut stream: TcpStream, new_connection: bool) {
         let (id, class, text) = self.request();
-        let behind = match self.random.gen_range(0..4) {
+        let trailing = match self.random.gen_range(0..4) {
             0 => b"GET /api HT".to_vec(),
             1 => self.request().2,
             2 => vec![b'P'; self.random.gen_range(1..40_000)],
@@ -165,47 +174,47 @@
         if stream.write_all(&text).is_err() {
             return;
         }
-        self.sent(&id, class, fresh);
+        self.record_sent(&id, class, new_connection);
         let _ = stream.set_write_timeout(Some(Duration::from_millis(50)));
-        if !behind.is_empty() {
-            let _ = stream.write_all(&behind);
+        if !trailing.is_empty() {
+            let _ = stream.write_all(&trailing);
         }
         thread::sleep(Duration::from_millis(self.random.gen_range(0..300)));
-        let how =
-            [Departure::Whole, Departure::Reset, Departure::Half][self.random.gen_range(0..3)];
-        match how {
-            Departure::Whole => drop(stream),
-            Departure::Reset => {
+        let early_end =
+            [EarlyEnd::Close, EarlyEnd::Reset, EarlyEnd::HalfClose][self.random.gen_range(0..3)];
+        match early_end {
+            EarlyEnd::Close => drop(stream),
+            EarlyEnd::Reset => {
                 let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                 drop(stream);
             }
-            Departure::Half => {
+            EarlyEnd::HalfClose => {
                 let _ = stream.shutdown(Shutdown::Write);
-                self.record.left(&id);
+                self.record.client_closed(&id);
                 let _ = stream.set_read_timeout(Some(Duration::from_millis(200)));
                 let _ = stream.read(&mut [0; 64]);
             }
         }
-        if !matches!(how, Departure::Half) {
-            self.record.left(&id);
+        if !matches!(early_end, EarlyEnd::HalfClose) {
+            self.record.client_closed(&id);
         }
     }
 }
 
-/// Reads one answer; whether the connection stays open after it.
-fn answer(stream: &mut TcpStream) -> (End, bool) {
+/// Reads one answer; also returns whether the connection stays open.
+fn read_answer(stream: &mut TcpStream) -> (End, bool) {
     let (mut bytes, mut buffer) = (Vec::new(), [0; 8192]);
     loop {
         match stream.read(&mut buffer) {
             Ok(0) if bytes.is_empty() => return (End::Closed, false),
-            Ok(0) => return (End::Cut, false),
+            Ok(0) => return (End::Truncated, false),
             Ok(n) => bytes.extend_from_slice(&buffer[..n]),
             Err(cause) if matches!(cause.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                return (End::Silence, false);
+                return (End::TimedOut, false);
             }
             Err(cause) if cause.kind() == ErrorKind::Interrupted => {}
             Err(_) if bytes.is_empty() => return (End::Closed, false),
-            Err(_) => return (End::Cut, false),
+            Err(_) => return (End::Truncated, false),
         }
         let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else { continue };
         let head = String::from_utf8_lossy(&bytes[..end]).to_lowercase();
@@ -213,8 +222,8 @@
         let length = lines.next().and_then(|n| n.parse().ok()).unwrap_or(0);
         if bytes.len() >= end + 4 + length {
             let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
-            let stays = !head.contains("connection: close");
-            return (End::Answered { status, at: Instant::now() }, stays);
+            let reusable = !head.contains("connection: close");
+            return (End::Answered { status, at: Instant::now() }, reusable);
         }
     }
 }
--- a/tests/soak/judge.rs
+++ b/tests/soak/judge.rs
@@ -1,97 +1,104 @@
-//! The rules that hold whatever happens, judged over the record of a run.
+//! Checks the record of a run against the invariants that hold under any fault.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use crate::clients::LATE;
+use crate::clients::ANSWER_GRACE;
 use crate::record::{Attempt, Class, End, Record, Request};
 
-/// An attempt may begin so long after its client closed.
-const AFTER_CLOSE: Duration = Duration::from_millis(100);
-/// The deadline that an upstream is told may exceed what the client has left by this much.
-const DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// Every time limit is extended by this much on sockets (PROTOCOL).
-const SOCKETS: Duration = Duration::from_millis(50);
+/// An attempt may start at most this long after its client closed the connection.
+const MAX_START_AFTER_CLOSE: Duration = Duration::from_millis(100);
+/// The deadline forwarded to an upstream may exceed the client's remaining time by at most this much.
+const FORWARDED_DEADLINE_SLACK: Duration = Duration::from_millis(150);
+/// Extension of every time limit on sockets (PROTOCOL).
+const SOCKET_SLACK: Duration = Duration::from_millis(50);
 
-/// What a run allows beside the rules.
+/// Exceptions to the invariants that a run's faults allow.
 #[derive(Default)]
 pub struct Allowed {
-    /// A crowd fills the descriptors: new connections may be closed unread.
-    pub crowd: bool,
-    /// By when nothing new may go to an upstream, grace included.
-    pub drained: HashMap<usize, Instant>,
+    /// A connection flood exhausts the file descriptors: new connections may be closed unread.
+    pub connection_flood: bool,
+    /// For each drained upstream, when the grace period ends; no attempt may start later.
+    pub drain_deadlines: HashMap<usize, Instant>,
 }
 
-/// Each broken rule, in words.
-pub fn judge(record: &Record, allowed: &Allowed) -> Vec<String> {
+/// Describes each violation.
+pub fn check_invariants(record: &Record, allowed: &Allowed) -> Vec<String> {
     let requests = record.requests.lock().expect("requests");
     let attempts = record.attempts.lock().expect("attempts");
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for (id, request) in requests.iter() {
         let none = Vec::new();
-        let tried = attempts.get(id).unwrap_or(&none);
+        let request_attempts = attempts.get(id).unwrap_or(&none);
         let faults = [
-            after_close(request, tried),
-            unanswered(request, tried, allowed),
-            run_twice(request, tried),
-            deadline_told(request, tried),
-            drained(tried, allowed),
+            started_after_close(request, request_attempts),
+            unanswered(request, request_attempts, allowed),
+            run_twice(request, request_attempts),
+            forwarded_deadline_too_long(request, request_attempts),
+            sent_after_drain(request_attempts, allowed),
         ];
-        broken.extend(faults.into_iter().flatten().map(|what| {
-            format!("{id} at proxy {}: {what}\n  {request:?}\n  {tried:?}", request.proxy)
+        violations.extend(faults.into_iter().flatten().map(|fault| {
+            format!(
+                "{id} at proxy {}: {fault}\n  {request:?}\n  {request_attempts:?}",
+                request.proxy
+            )
         }));
     }
-    broken
+    violations
 }
 
-fn after_close(request: &Request, tried: &[Attempt]) -> Option<String> {
-    let left = request.left?;
-    let late = tried.iter().map(|a| a.began.saturating_duration_since(left)).max()?;
-    (late > AFTER_CLOSE).then(|| format!("an attempt began {late:?} after its client closed"))
+fn started_after_close(request: &Request, attempts: &[Attempt]) -> Option<String> {
+    let client_closed = request.client_closed?;
+    let late = attempts.iter().map(|a| a.started.saturating_duration_since(client_closed)).max()?;
+    (late > MAX_START_AFTER_CLOSE)
+        .then(|| format!("an attempt started {late:?} after its client closed"))
 }
 
-fn unanswered(request: &Request, tried: &[Attempt], allowed: &Allowed) -> Option<String> {
-    if request.left.is_some() {
+fn unanswered(request: &Request, attempts: &[Attempt], allowed: &Allowed) -> Option<String> {
+    if request.client_closed.is_some() {
         return None;
     }
     match request.end? {
         End::Answered { at, .. } => {
             let took = at.saturating_duration_since(request.sent);
-            let late = took > request.deadline + LATE + SOCKETS;
+            let late = took > request.deadline + ANSWER_GRACE + SOCKET_SLACK;
             late.then(|| format!("answered after {took:?}"))
         }
-        End::Closed if !request.fresh && tried.is_empty() => None,
-        End::Closed if allowed.crowd && tried.is_empty() => None,
-        End::Closed => Some("closed with no answer".to_owned()),
-        // Upstreams' answers here are small, and kept whole before any of one is passed on.
-        End::Cut => Some("cut in the middle of its answer".to_owned()),
-        End::Silence => Some("no answer in its time".to_owned()),
+        End::Closed if !request.new_connection && attempts.is_empty() => None,
+        End::Closed if allowed.connection_flood && attempts.is_empty() => None,
+        End::Closed => Some("connection closed without an answer".to_owned()),
+        // Answers in this test are small, so the proxy buffers each one fully before forwarding any of it.
+        End::Truncated => Some("answer truncated".to_owned()),
+        End::TimedOut => Some("no answer within the client's time limit".to_owned()),
     }
 }
 
-fn run_twice(request: &Request, tried: &[Attempt]) -> Option<String> {
+fn run_twice(request: &Request, attempts: &[Attempt]) -> Option<String> {
     if request.class != Class::Alarm {
         return None;
     }
-    let first = tried.iter().position(|a| a.may_have_run)?;
-    (tried.len() > first + 1).then(|| "sent again though it may have run".to_owned())
+    let first = attempts.iter().position(|a| a.may_have_run)?;
+    (attempts.len() > first + 1)
+        .then(|| "retried although an earlier attempt may have run".to_owned())
 }
 
-fn deadline_told(request: &Request, tried: &[Attempt]) -> Option<String> {
+fn forwarded_deadline_too_long(request: &Request, attempts: &[Attempt]) -> Option<String> {
     let excess = |attempt: &Attempt| {
-        let left = (request.sent + request.deadline).saturating_duration_since(attempt.began);
-        attempt.told.saturating_sub(left)
+        let remaining =
+            (request.sent + request.deadline).saturating_duration_since(attempt.started);
+        attempt.forwarded_deadline.saturating_sub(remaining)
     };
-    let most = tried.iter().map(excess).max()?;
-    (most > DEADLINE_SLACK).then(|| format!("told {most:?} more than its client had left"))
+    let largest = attempts.iter().map(excess).max()?;
+    (largest > FORWARDED_DEADLINE_SLACK)
+        .then(|| format!("forwarded deadline exceeds the client's remaining time by {largest:?}"))
 }
 
-fn drained(tried: &[Attempt], allowed: &Allowed) -> Option<String> {
+fn sent_after_drain(attempts: &[Attempt], allowed: &Allowed) -> Option<String> {
     let late = |attempt: &Attempt| {
-        let by = allowed.drained.get(&attempt.upstream)?;
-        let late = attempt.began.saturating_duration_since(*by);
+        let deadline = allowed.drain_deadlines.get(&attempt.upstream)?;
+        let late = attempt.started.saturating_duration_since(*deadline);
         (!late.is_zero())
             .then(|| format!("sent to drained upstream {} after {late:?}", attempt.upstream))
     };
-    tried.iter().find_map(late)
+    attempts.iter().find_map(late)
 }
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,6 +1,6 @@
-//! Random, overlapping faults over a few dozen processes, judged by the rules that hold whatever happens.
+//! Soak test: random, overlapping faults in a few dozen processes, checked against invariants that hold under any fault.
 //!
-//! `SOAK_SEEDS=100-149 cargo test --test soak` plays these seeds in place of those of CI.
+//! `SOAK_SEEDS=100-149 cargo test --test soak` runs these seeds instead of the default ones.
 
 mod clients;
 #[path = "../harness/mod.rs"]
@@ -17,11 +17,11 @@
 
 use std::ops::RangeInclusive;
 
-/// The seeds that CI plays.
-const SEEDS: RangeInclusive<u64> = 1..=4;
+/// The seeds that CI runs.
+const DEFAULT_SEEDS: RangeInclusive<u64> = 1..=4;
 
 fn seeds() -> RangeInclusive<u64> {
-    let Ok(text) = std::env::var("SOAK_SEEDS") else { return SEEDS };
+    let Ok(text) = std::env::var("SOAK_SEEDS") else { return DEFAULT_SEEDS };
     let (first, last) = text.split_once('-').unwrap_or((&text, &text));
     let seed = |text: &str| text.parse().expect("SOAK_SEEDS is FIRST-LAST or one seed");
     seed(first)..=seed(last)
@@ -29,11 +29,18 @@
 
 #[test]
 fn no_rule_breaks_under_random_overlapping_faults() {
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for seed in seeds() {
         let outcome = run::run(seed);
         println!("seed {seed}: {}", outcome.summary);
-        broken.extend(outcome.broken.into_iter().map(|what| format!("seed {seed}: {what}")));
+        violations.extend(
+            outcome.violations.into_iter().map(|violation| format!("seed {seed}: {violation}")),
+        );
     }
-    assert!(broken.is_empty(), "{} broken:\n{}", broken.len(), broken.join("\n"));
+    assert!(
+        violations.is_empty(),
+        "{} invariant violations:\n{}",
+        violations.len(),
+        violations.join("\n")
+    );
 }
--- a/tests/soak/record.rs
+++ b/tests/soak/record.rs
@@ -1,4 +1,4 @@
-//! What clients sent and how it ended, and what upstreams saw of it, all on one clock.
+//! Record of the requests that clients sent, their outcomes and the attempts that upstreams received, on one clock.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -9,7 +9,7 @@
 pub enum Class {
     /// Safe to repeat.
     Read,
-    /// Repeated under its key.
+    /// Repeatable under its idempotency key.
     Log,
     /// Must never run twice.
     Alarm,
@@ -18,40 +18,40 @@
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// A whole answer with this status came.
+    /// A complete answer with this status arrived.
     Answered { status: u16, at: Instant },
-    /// The connection ended before any of an answer.
+    /// The connection closed before any byte of an answer.
     Closed,
-    /// Part of an answer came, and the client could tell that it was not whole.
-    Cut,
-    /// Nothing came for the longest time that a client waits.
-    Silence,
+    /// The connection ended after part of an answer, which the client could detect as incomplete.
+    Truncated,
+    /// No data arrived within the client's read timeout.
+    TimedOut,
 }
 
-/// One request, as its client sent it.
+/// One request, as sent by its client.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub proxy: usize,
     pub class: Class,
     pub deadline: Duration,
-    /// Its last byte was written.
+    /// When its last byte was written.
     pub sent: Instant,
-    /// It is the first on its connection.
-    pub fresh: bool,
-    /// The client closed the connection without waiting for the end.
-    pub left: Option<Instant>,
+    /// Whether it is the first request on its connection.
+    pub new_connection: bool,
+    /// When the client closed the connection without waiting for the answer.
+    pub client_closed: Option<Instant>,
     pub end: Option<End>,
 }
 
-/// One attempt, as an upstream saw it.
+/// One attempt, as received by an upstream.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub upstream: usize,
-    /// Its first byte arrived.
-    pub began: Instant,
-    /// The deadline in it.
-    pub told: Duration,
-    /// It was read whole, and its upstream did not promise that it never ran.
+    /// When its first byte arrived.
+    pub started: Instant,
+    /// The deadline in its header.
+    pub forwarded_deadline: Duration,
+    /// It was read in full, and its upstream did not state that it was not run.
     pub may_have_run: bool,
 }
 
@@ -63,36 +63,36 @@
 }
 
 impl Record {
-    pub fn sent(&self, id: &str, request: Request) {
+    pub fn request_sent(&self, id: &str, request: Request) {
         self.requests.lock().expect("requests").insert(id.to_owned(), request);
     }
 
-    pub fn left(&self, id: &str) {
-        self.change(id, |request| request.left = Some(Instant::now()));
+    pub fn client_closed(&self, id: &str) {
+        self.update(id, |request| request.client_closed = Some(Instant::now()));
     }
 
-    pub fn ended(&self, id: &str, end: End) {
-        self.change(id, |request| request.end = Some(end));
+    pub fn request_ended(&self, id: &str, end: End) {
+        self.update(id, |request| request.end = Some(end));
     }
 
-    fn change(&self, id: &str, change: impl FnOnce(&mut Request)) {
+    fn update(&self, id: &str, update: impl FnOnce(&mut Request)) {
         if let Some(request) = self.requests.lock().expect("requests").get_mut(id) {
-            change(request);
+            update(request);
         }
     }
 
-    /// Records an attempt; its place among those of its request.
-    pub fn attempted(&self, id: &str, attempt: Attempt) -> usize {
+    /// Records an attempt and returns its index among the attempts of its request.
+    pub fn attempt_started(&self, id: &str, attempt: Attempt) -> usize {
         let mut attempts = self.attempts.lock().expect("attempts");
-        let of_request = attempts.entry(id.to_owned()).or_default();
-        of_request.push(attempt);
-        of_request.len() - 1
+        let request_attempts = attempts.entry(id.to_owned()).or_default();
+        request_attempts.push(attempt);
+        request_attempts.len() - 1
     }
 
-    /// The attempt may have run after all.
-    pub fn may_have_run(&self, id: &str, place: usize) {
+    /// Marks an attempt as possibly run.
+    pub fn mark_may_have_run(&self, id: &str, index: usize) {
         let mut attempts = self.attempts.lock().expect("attempts");
-        if let Some(attempt) = attempts.get_mut(id).and_then(|all| all.get_mut(place)) {
+        if let Some(attempt) = attempts.get_mut(id).and_then(|all| all.get_mut(index)) {
             attempt.may_have_run = true;
         }
     }
--- a/tests/soak/schedule.rs
+++ b/tests/soak/schedule.rs
@@ -1,58 +1,59 @@
-//! Which faults come when: drawn from the seed before a run begins.
+//! The fault schedule of a run, drawn from its seed before the run starts.
 
 use std::time::Duration;
 
 use rand::Rng;
 use rand::rngs::StdRng;
 
-/// How long faults come for.
-pub const FAULTS: Duration = Duration::from_millis(5500);
-/// Between SIGTERM and SIGKILL: the longest deadline and 0.7 s, the page's earliest.
+/// How long faults are injected.
+pub const FAULT_PHASE: Duration = Duration::from_millis(5500);
+/// Time from SIGTERM to SIGKILL: the longest deadline plus 0.7 s, the earliest that the specification allows.
 pub const KILL_AFTER: Duration = Duration::from_millis(1200 + 700);
-/// A proxy is held for so long at most while it ends (STANDING), and at other times.
-const HELD_AT_END: u64 = 150;
-const HELD: u64 = 300;
+/// Longest stall of a proxy while it shuts down (STANDING).
+const MAX_STALL_IN_SHUTDOWN_MS: u64 = 150;
+/// Longest stall of a proxy at other times.
+const MAX_STALL_MS: u64 = 300;
 
-/// One step of a run, on a process by its place among those of its kind.
+/// One step of a run; the number is the index of the process among those of its kind.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    HoldProxy(usize, Duration),
-    HoldUpstream(usize, Duration),
+    StallProxy(usize, Duration),
+    StallUpstream(usize, Duration),
     KillUpstream(usize),
     RestartUpstream(usize),
-    HoldList(usize, Duration),
+    StallList(usize, Duration),
     KillList(usize),
     RestartList(usize),
-    HangUp(usize),
-    /// Another process begins at the proxy's address, to take over.
-    Succeed(usize),
+    SendSighup(usize),
+    /// Starts a successor process at the proxy's address.
+    StartSuccessor(usize),
     Terminate(usize),
-    /// SIGTERM once more.
+    /// Sends SIGTERM a second time.
     TerminateAgain(usize),
     Kill(usize),
     Drain(usize),
-    Crowd(usize),
+    FloodConnections(usize),
 }
 
-/// What a run has.
+/// The number of processes of each kind in a run.
 pub struct Size {
     pub proxies: usize,
     pub upstreams: usize,
     pub lists: usize,
 }
 
-/// What is drawn for a run, beside its steps.
+/// The schedule of a run and its other random choices.
 pub struct Plan {
-    /// In the order of their time.
+    /// Ordered by time.
     pub steps: Vec<(Duration, Step)>,
-    /// The kinds of calls that fail at each proxy.
-    pub calls: Vec<&'static str>,
-    pub crowd: bool,
-    /// Whether the list service fails too; then its news may come late.
+    /// The kinds of system calls that fail in each proxy.
+    pub failing_calls: Vec<&'static str>,
+    pub connection_flood: bool,
+    /// Whether the list service fails too, in which case list updates may be late.
     pub lists_fail: bool,
 }
 
-const CALLS: [&str; 8] = [
+const FAILING_CALLS: [&str; 8] = [
     "",
     "",
     "interrupt",
@@ -65,8 +66,10 @@
 
 /// Draws the plan of a run.
 pub fn plan(size: &Size, random: &mut StdRng) -> Plan {
-    let calls = (0..size.proxies).map(|_| CALLS[random.gen_range(0..CALLS.len())]).collect();
-    let (crowd, lists_fail) = (random.gen_range(0..3) == 0, random.gen_bool(0.5));
+    let failing_calls = (0..size.proxies)
+        .map(|_| FAILING_CALLS[random.gen_range(0..FAILING_CALLS.len())])
+        .collect();
+    let (connection_flood, lists_fail) = (random.gen_range(0..3) == 0, random.gen_bool(0.5));
     let mut steps = Steps { steps: Vec::new(), random };
     for proxy in 0..size.proxies {
         steps.proxy(proxy);
@@ -85,13 +88,13 @@
         let at = steps.at(500, 4000);
         steps.add(at, Step::Drain(upstream));
     }
-    if crowd {
+    if connection_flood {
         let (at, proxy) = (steps.at(200, 3000), steps.random.gen_range(0..size.proxies));
-        steps.add(at, Step::Crowd(proxy));
+        steps.add(at, Step::FloodConnections(proxy));
     }
     let mut steps = steps.steps;
     steps.sort_by_key(|(at, _)| *at);
-    Plan { steps, calls, crowd, lists_fail }
+    Plan { steps, failing_calls, connection_flood, lists_fail }
 }
 
 struct Steps<'a> {
@@ -108,43 +111,52 @@
         self.steps.push((at, step));
     }
 
-    /// Holds a process from some moment of this span on.
-    fn hold(&mut self, (from, to): (u64, u64), most: u64, hold: impl Fn(Duration) -> Step) {
-        let (at, held) = (self.at(from, to), self.at(60, most + 1));
-        self.add(at, hold(held));
+    /// Stalls a process, starting at a random time within this span.
+    fn stall(
+        &mut self,
+        (from, to): (u64, u64),
+        max_ms: u64,
+        stall_step: impl Fn(Duration) -> Step,
+    ) {
+        let (at, stall) = (self.at(from, to), self.at(60, max_ms + 1));
+        self.add(at, stall_step(stall));
     }
 
-    /// A proxy is held now and then, hears signals in a series, and ends, with a successor or without.
+    /// A proxy is stalled from time to time, receives a series of signals, and shuts down with or without a successor.
     fn proxy(&mut self, proxy: usize) {
         let end = self.at(1800, 3400);
-        let end_ms = end.as_millis() as u64;
-        let hold = |held| Step::HoldProxy(proxy, held);
-        for from in (100..end_ms - 500).step_by(600) {
-            self.hold((from, from + 100), HELD, hold);
+        let shutdown_ms = end.as_millis() as u64;
+        let stall_step = |stall| Step::StallProxy(proxy, stall);
+        for from in (100..shutdown_ms - 500).step_by(600) {
+            self.stall((from, from + 100), MAX_STALL_MS, stall_step);
         }
-        // Across the signal, and across the kill.
-        self.hold((end_ms - 100, end_ms), HELD_AT_END, hold);
+        // One stall spans SIGTERM, another precedes SIGKILL.
+        self.stall((shutdown_ms - 100, shutdown_ms), MAX_STALL_IN_SHUTDOWN_MS, stall_step);
         let kill = end + KILL_AFTER;
         let kill_ms = kill.as_millis() as u64;
-        self.hold((end_ms + 300, kill_ms - 600), HELD_AT_END, hold);
-        self.hold((kill_ms - 300, kill_ms - HELD_AT_END), HELD_AT_END, hold);
+        self.stall((shutdown_ms + 300, kill_ms - 600), MAX_STALL_IN_SHUTDOWN_MS, stall_step);
+        self.stall(
+            (kill_ms - 300, kill_ms - MAX_STALL_IN_SHUTDOWN_MS),
+            MAX_STALL_IN_SHUTDOWN_MS,
+            stall_step,
+        );
         if self.random.gen_bool(0.4) {
-            self.add(end - Duration::from_millis(400), Step::Succeed(proxy));
+            self.add(end - Duration::from_millis(400), Step::StartSuccessor(proxy));
         }
         for _ in 0..3 {
             let at = self.at(200, kill_ms);
-            self.add(at, Step::HangUp(proxy));
+            self.add(at, Step::SendSighup(proxy));
         }
         self.add(end, Step::Terminate(proxy));
-        let again = end + self.at(1, 900);
-        self.add(again, Step::TerminateAgain(proxy));
+        let second_sigterm = end + self.at(1, 900);
+        self.add(second_sigterm, Step::TerminateAgain(proxy));
         self.add(kill, Step::Kill(proxy));
     }
 
     fn upstream(&mut self, upstream: usize) {
-        let last = FAULTS.as_millis() as u64;
+        let last = FAULT_PHASE.as_millis() as u64;
         if self.random.gen_bool(0.6) {
-            self.hold((100, last), 2000, |held| Step::HoldUpstream(upstream, held));
+            self.stall((100, last), 2000, |stall| Step::StallUpstream(upstream, stall));
         } else {
             let (at, down) = (self.at(100, last), self.at(50, 1500));
             self.add(at, Step::KillUpstream(upstream));
@@ -153,9 +165,9 @@
     }
 
     fn list(&mut self, list: usize) {
-        let last = FAULTS.as_millis() as u64;
+        let last = FAULT_PHASE.as_millis() as u64;
         if self.random.gen_bool(0.5) {
-            self.hold((100, last), 1500, |held| Step::HoldList(list, held));
+            self.stall((100, last), 1500, |stall| Step::StallList(list, stall));
         } else {
             let (at, down) = (self.at(100, last), self.at(50, 1500));
             self.add(at, Step::KillList(list));
--- a/tests/soak/upstreams.rs
+++ b/tests/soak/upstreams.rs
@@ -1,4 +1,4 @@
-//! Taps before the stand-in processes: they note each attempt, and let some fail on the way.
+//! Fault injectors in front of the stand-in processes: they record each attempt and make some fail.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,7 +13,7 @@
 
 use crate::record::{Attempt, Record};
 
-/// What a tap does with an attempt.
+/// How an injector handles an attempt.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Pass,
@@ -22,57 +22,63 @@
     Error,
     Reset,
     Hang,
-    Cut,
+    Truncate,
     CloseAfter,
 }
 
-/// A hung attempt is let go after this, if its proxy has not closed it.
-const HANG: Duration = Duration::from_secs(4);
+/// A hanging attempt is closed after this time unless its proxy closes it first.
+const HANG_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// One upstream as proxies see it.
-pub struct Tap {
+/// The address at which proxies reach one upstream.
+pub struct FaultInjector {
     pub address: SocketAddr,
-    /// Faults stop once this is set.
-    pub calm: Arc<AtomicBool>,
+    /// No faults are injected once this is set.
+    pub faults_off: Arc<AtomicBool>,
 }
 
-impl Tap {
-    /// Stands before the stand-in at this address.
+impl FaultInjector {
+    /// Starts an injector that forwards to the stand-in at `to`.
     pub fn start(upstream: usize, to: SocketAddr, seed: u64, record: Arc<Record>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let calm = Arc::new(AtomicBool::new(false));
+        let faults_off = Arc::new(AtomicBool::new(false));
         let random = Arc::new(Mutex::new(StdRng::seed_from_u64(seed)));
-        let tap = Arc::new(Served { upstream, to, record, calm: calm.clone(), random });
+        let injector = Arc::new(InjectorState {
+            upstream,
+            to,
+            record,
+            faults_off: faults_off.clone(),
+            random,
+        });
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let tap = tap.clone();
-                thread::spawn(move || tap.serve(stream));
+                let injector = injector.clone();
+                thread::spawn(move || injector.serve(stream));
             }
         });
-        Self { address, calm }
+        Self { address, faults_off }
     }
 }
 
-struct Served {
+struct InjectorState {
     upstream: usize,
     to: SocketAddr,
     record: Arc<Record>,
-    calm: Arc<AtomicBool>,
+    faults_off: Arc<AtomicBool>,
     random: Arc<Mutex<StdRng>>,
 }
 
-/// A request as it came.
-struct Head {
-    began: Instant,
+/// A request as received.
+struct ReceivedRequest {
+    started: Instant,
     id: String,
-    told: Duration,
+    forwarded_deadline: Duration,
     bytes: Vec<u8>,
 }
 
-impl Served {
-    fn draw(&self) -> Fault {
-        if self.calm.load(Ordering::Relaxed) {
+impl InjectorState {
+    fn draw_fault(&self) -> Fault {
+        if self.faults_off.load(Ordering::Relaxed) {
             return Fault::Pass;
         }
         let mut random = self.random.lock().expect("a generator");
@@ -84,7 +90,7 @@
             82..85 => Fault::Error,
             85..89 => Fault::Reset,
             89..94 => Fault::Hang,
-            94..97 => Fault::Cut,
+            94..97 => Fault::Truncate,
             _ => Fault::CloseAfter,
         }
     }
@@ -92,13 +98,19 @@
     fn serve(&self, mut proxy: TcpStream) {
         let _ = proxy.set_nodelay(true);
         let mut stand_in = None;
-        while let Some(request) = self.read(&mut proxy) {
-            let (id, told, began) = (request.id.clone(), request.told, request.began);
-            let attempt = Attempt { upstream: self.upstream, began, told, may_have_run: false };
-            let place = self.record.attempted(&id, attempt);
-            let fault = self.draw();
+        while let Some(request) = self.read_request(&mut proxy) {
+            let (id, forwarded_deadline, started) =
+                (request.id.clone(), request.forwarded_deadline, request.started);
+            let attempt = Attempt {
+                upstream: self.upstream,
+                started,
+                forwarded_deadline,
+                may_have_run: false,
+            };
+            let index = self.record.attempt_started(&id, attempt);
+            let fault = self.draw_fault();
             if !matches!(fault, Fault::NotRun) {
-                self.record.may_have_run(&id, place);
+                self.record.mark_may_have_run(&id, index);
             }
             match fault {
                 Fault::NotRun => {
@@ -120,31 +132,32 @@
                     return;
                 }
                 Fault::Hang => {
-                    let _ = proxy.set_read_timeout(Some(HANG));
+                    let _ = proxy.set_read_timeout(Some(HANG_TIMEOUT));
                     let _ = proxy.read(&mut [0]);
                     return;
                 }
                 Fault::Delay(delay) => thread::sleep(delay),
-                Fault::Pass | Fault::Cut | Fault::CloseAfter => {}
+                Fault::Pass | Fault::Truncate | Fault::CloseAfter => {}
             }
-            let Some(answer) = self.ask(&mut stand_in, &request.bytes) else { return };
-            let most = if matches!(fault, Fault::Cut) { answer.len() - 1 } else { answer.len() };
-            if proxy.write_all(&answer[..most]).is_err() {
+            let Some(answer) = self.forward(&mut stand_in, &request.bytes) else { return };
+            let length =
+                if matches!(fault, Fault::Truncate) { answer.len() - 1 } else { answer.len() };
+            if proxy.write_all(&answer[..length]).is_err() {
                 return;
             }
-            if matches!(fault, Fault::Cut | Fault::CloseAfter) {
+            if matches!(fault, Fault::Truncate | Fault::CloseAfter) {
                 return;
             }
         }
     }
 
-    /// Reads one request; `None` where the connection ends first.
-    fn read(&self, proxy: &mut TcpStream) -> Option<Head> {
+    /// Reads one request; `None` if the connection ends first.
+    fn read_request(&self, proxy: &mut TcpStream) -> Option<ReceivedRequest> {
         let (mut bytes, mut buffer) = (Vec::new(), [0; 32 << 10]);
-        let mut began = None;
+        let mut started = None;
         loop {
             let n = proxy.read(&mut buffer).ok().filter(|n| *n > 0)?;
-            let at = *began.get_or_insert_with(|| received(proxy));
+            let at = *started.get_or_insert_with(|| received_at(proxy));
             bytes.extend_from_slice(&buffer[..n]);
             let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else { continue };
             let head = String::from_utf8_lossy(&bytes[..end]).to_lowercase();
@@ -156,18 +169,24 @@
             if bytes.len() < end + 4 + length {
                 continue;
             }
-            let told = header("x-deadline-ms").and_then(|ms| ms.parse().ok()).unwrap_or(u64::MAX);
+            let forwarded_deadline =
+                header("x-deadline-ms").and_then(|ms| ms.parse().ok()).unwrap_or(u64::MAX);
             let id = header("x-request-id").unwrap_or_default();
-            return Some(Head { began: at, id, told: Duration::from_millis(told), bytes });
+            return Some(ReceivedRequest {
+                started: at,
+                id,
+                forwarded_deadline: Duration::from_millis(forwarded_deadline),
+                bytes,
+            });
         }
     }
 
-    /// Has the stand-in answer; `None` where it does not.
-    fn ask(&self, stand_in: &mut Option<TcpStream>, request: &[u8]) -> Option<Vec<u8>> {
+    /// Forwards a request to the stand-in; `None` if it does not answer.
+    fn forward(&self, stand_in: &mut Option<TcpStream>, request: &[u8]) -> Option<Vec<u8>> {
         if stand_in.is_none() {
             let connected =
                 TcpStream::connect_timeout(&self.to, Duration::from_millis(300)).ok()?;
-            connected.set_read_timeout(Some(HANG)).ok()?;
+            connected.set_read_timeout(Some(HANG_TIMEOUT)).ok()?;
             *stand_in = Some(connected);
         }
         let stream = stand_in.as_mut()?;
@@ -187,7 +206,7 @@
     }
 }
 
-/// When the last bytes arrived, by the kernel's word: this thread may read them late.
-fn received(stream: &TcpStream) -> Instant {
+/// When the last bytes arrived according to the kernel, as this thread may read them late.
+fn received_at(stream: &TcpStream) -> Instant {
     Instant::now() - crate::kernel::since_last_data(stream)
 }
