--- a/tests/shim/mod.rs
+++ b/tests/shim/mod.rs
@@ -1,10 +1,10 @@
-//! A library that is loaded into the program and lets its system calls fail (`faults.c`).
+//! Builds a preload library (`faults.c`) that injects system call failures into the program.
 
 use std::path::PathBuf;
 use std::process::Command;
 use std::sync::OnceLock;
 
-/// The library, built by the C compiler that links Rust programs too.
+/// Path of the library, built once by `cc`, the C compiler that also links Rust programs.
 pub fn library() -> &'static str {
     static BUILT: OnceLock<String> = OnceLock::new();
     BUILT.get_or_init(|| {
@@ -19,7 +19,7 @@
     })
 }
 
-/// The environment of a process in which one call in `rate` of these kinds fails.
+/// Environment variables that make one call in `rate` of these kinds fail in a process.
 pub fn faults(kinds: &str, rate: u32, seed: u64) -> [(&'static str, String); 4] {
     [
         ("LD_PRELOAD", library().to_owned()),
