--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,6 +1,6 @@
-//! Several processes of the program on loopback: started, faulted (SIGKILL, SIGSTOP, SIGCONT) and stopped,
-//! each step bounded in time. Every process still running when the [`Fleet`] is dropped is killed and
-//! reaped, so a failing test leaves nothing behind.
+//! Starts, stops and signals (SIGKILL, SIGSTOP, SIGCONT) processes of the program on loopback, with a time limit
+//! on each step. Dropping the [`Fleet`] kills and reaps every process that still runs, so a failing test leaves
+//! none behind.
 
 use std::cell::Cell;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -16,7 +16,7 @@
 use serde_json::{Value, json};
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_hollowpaddle");
-/// How long a process may take to say where it listens, or to become ready.
+/// Time limit for a process to log its listening address or to become ready.
 pub const START: Duration = Duration::from_secs(5);
 
 pub struct Process {
@@ -29,12 +29,11 @@
 }
 
 impl Process {
-    /// Its id at the system.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// What it was started with.
+    /// The command-line arguments it was started with.
     pub fn args(&self) -> Vec<String> {
         self.args.clone()
     }
@@ -44,27 +43,27 @@
 pub struct Fleet {
     number: usize,
     pub processes: Vec<Process>,
-    /// Management addresses of processes that those here have started.
+    /// Management addresses of processes started by those of this fleet, which are killed with it.
     pub adopted: Vec<SocketAddr>,
-    /// What processes of these names have in their environment beside what they are started with.
+    /// Extra environment variables by process name, in addition to those passed to [`Fleet::start`].
     pub environments: Vec<(&'static str, Vec<(&'static str, String)>)>,
     files: Vec<PathBuf>,
 }
 
-/// A fleet's number among those of this test program.
-static FLEETS: AtomicUsize = AtomicUsize::new(0);
+/// The number of fleets in this test program that have created files; numbers their paths.
+static FLEET_COUNT: AtomicUsize = AtomicUsize::new(0);
 
-/// Ports handed out by [`free`] lie below those that the system gives to outgoing connections and to port 0, or one
-/// of these could take one before its process listens there.
+/// Ports for [`free`], below the ephemeral range: an outgoing connection or a bind to port 0 could otherwise take
+/// the port before the process that it is meant for listens there.
 const PORTS: std::ops::Range<u32> = 20_000..32_000;
-static HANDED_OUT: AtomicUsize = AtomicUsize::new(0);
+static NEXT_PORT: AtomicUsize = AtomicUsize::new(0);
 
-/// An address on loopback that nobody has now, and that this program hands out once.
+/// Returns a loopback address that is unused now; this program returns each port once.
 pub fn free() -> SocketAddr {
-    // Programs that run side by side begin at different ports.
+    // Test programs that run concurrently start at different ports.
     let first = std::process::id().wrapping_mul(131);
     loop {
-        let next = first.wrapping_add(HANDED_OUT.fetch_add(1, Ordering::Relaxed) as u32);
+        let next = first.wrapping_add(NEXT_PORT.fetch_add(1, Ordering::Relaxed) as u32);
         let port = PORTS.start + next % (PORTS.end - PORTS.start);
         let address = SocketAddr::from(([127, 0, 0, 1], port as u16));
         if TcpListener::bind(address).is_ok() {
@@ -73,7 +72,7 @@
     }
 }
 
-/// Waits until `holds`, and says how long that took.
+/// Waits until `holds` returns true, and returns how long that took.
 pub fn until(what: &str, within: Duration, mut holds: impl FnMut() -> bool) -> Duration {
     let from = Instant::now();
     while !holds() {
@@ -86,7 +85,7 @@
 impl Fleet {
     fn path(&mut self, name: &str) -> PathBuf {
         if self.number == 0 {
-            self.number = 1 + FLEETS.fetch_add(1, Ordering::Relaxed);
+            self.number = 1 + FLEET_COUNT.fetch_add(1, Ordering::Relaxed);
         }
         let name = format!("hollowpaddle-{}-{}-{name}", std::process::id(), self.number);
         let path = std::env::temp_dir().join(name);
@@ -94,20 +93,20 @@
         path
     }
 
-    /// A file of this fleet's, removed with it.
+    /// Creates a temporary file that is removed when the fleet is dropped.
     pub fn file(&mut self, name: &str, text: &str) -> PathBuf {
         let path = self.path(name);
         std::fs::write(&path, text).expect("a temporary file");
         path
     }
 
-    /// A folder of this fleet's, not made yet, removed with it.
+    /// Path for a temporary folder, not created here, that is removed when the fleet is dropped.
     pub fn folder(&mut self, name: &str) -> PathBuf {
         self.path(name)
     }
 
-    /// Starts the program with these arguments and environment, and waits until it logs
-    /// `listening on ADDRESS`. Returns its index.
+    /// Starts the program with these arguments and environment, waits until it logs `listening on ADDRESS`, and
+    /// returns its index.
     pub fn start(&mut self, name: &str, args: &[&str], env: &[(&str, &str)]) -> usize {
         let args: Vec<String> = args.iter().map(|a| (*a).to_owned()).collect();
         let mut env: Vec<(String, String)> =
@@ -115,29 +114,29 @@
         for (_, more) in self.environments.iter().filter(|(of, _)| *of == name) {
             env.extend(more.iter().map(|(k, v)| ((*k).to_owned(), v.clone())));
         }
-        let process = launch(name.to_owned(), args, env);
+        let process = spawn_process(name.to_owned(), args, env);
         self.processes.push(process);
         self.processes.len() - 1
     }
 
-    /// Starts a process that has ended again, as it was started before.
+    /// Restarts a process that has exited, with the same arguments and environment.
     pub fn restart(&mut self, i: usize) {
         let old = &self.processes[i];
-        self.processes[i] = launch(old.name.clone(), old.args.clone(), old.env.clone());
+        self.processes[i] = spawn_process(old.name.clone(), old.args.clone(), old.env.clone());
     }
 
-    /// Whether a line of its log since its start holds this.
+    /// Whether a line of the process's log since its start contains `what`.
     pub fn logged(&self, i: usize, what: &str) -> bool {
         self.line(i, what).is_some()
     }
 
-    /// The first line of its log since its start that holds this.
+    /// The first line of the process's log since its start that contains `what`.
     pub fn line(&self, i: usize, what: &str) -> Option<String> {
         let log = self.processes[i].log.lock().expect("a log");
         log.iter().find(|line| line.contains(what)).cloned()
     }
 
-    /// Waits until it has ended by itself: its exit code.
+    /// Waits until the process exits by itself, and returns its exit code.
     pub fn ended(&mut self, i: usize, within: Duration) -> Option<i32> {
         let (name, child) = (self.processes[i].name.clone(), &mut self.processes[i].child);
         let mut status = None;
@@ -148,12 +147,12 @@
         status.and_then(|s| s.code())
     }
 
-    /// Its exit status, if it has ended.
+    /// The exit status of the process if it has exited.
     pub fn exited(&mut self, i: usize) -> Option<ExitStatus> {
         self.processes[i].child.try_wait().expect("a child")
     }
 
-    /// The index of the process of this name.
+    /// The index of the process with this name.
     pub fn named(&self, name: &str) -> usize {
         self.processes.iter().position(|p| p.name == name).expect("it was started")
     }
@@ -168,13 +167,13 @@
         assert!(sent.is_ok(), "{signal:?} to {}: {sent:?}", self.processes[i].name);
     }
 
-    /// Holds it for so long from now on (SIGSTOP, SIGCONT), without waiting.
-    pub fn hold(&self, i: usize, held: Duration) {
+    /// Stalls the process for this long (SIGSTOP, then SIGCONT), without waiting.
+    pub fn hold(&self, i: usize, duration: Duration) {
         let pid = Pid::from_child(&self.processes[i].child);
         let _ = kill_process(pid, Signal::STOP);
         thread::spawn(move || {
-            thread::sleep(held);
-            // It may have been killed meanwhile.
+            thread::sleep(duration);
+            // The process may have been killed meanwhile.
             let _ = kill_process(pid, Signal::CONT);
         });
     }
@@ -184,12 +183,12 @@
         let _ = self.processes[i].child.wait();
     }
 
-    /// SIGHUP: its configuration has changed.
+    /// Sends SIGHUP, which makes the process reload its configuration.
     pub fn hang_up(&self, i: usize) {
         self.signal(i, Signal::HUP);
     }
 
-    /// SIGTERM, without waiting.
+    /// Sends SIGTERM, without waiting for the exit.
     pub fn stop(&self, i: usize) {
         self.signal(i, Signal::TERM);
     }
@@ -202,7 +201,7 @@
         self.signal(i, Signal::CONT);
     }
 
-    /// Waits until `GET /-/ready` at its address answers 200.
+    /// Waits until `GET /-/ready` at the process's address answers 200.
     pub fn ready(&self, i: usize) {
         let from = Instant::now();
         while get(self.address(i), "/-/ready", &[]).map(|(status, _)| status) != Some(200) {
@@ -216,30 +215,30 @@
     }
 }
 
-fn launch(name: String, args: Vec<String>, env: Vec<(String, String)>) -> Process {
+fn spawn_process(name: String, args: Vec<String>, env: Vec<(String, String)>) -> Process {
     let mut command = Command::new(PROGRAM);
     command.args(&args).env("LB_NAME", &name).stdout(Stdio::null()).stderr(Stdio::piped());
     command.env_remove("LB_LOG_FORMAT").envs(env.iter().map(|(k, v)| (k, v)));
     let mut child = command.spawn().expect("the program starts");
     let stderr = BufReader::new(child.stderr.take().expect("piped"));
-    let (told, heard) = mpsc::channel();
+    let (address_sender, address_receiver) = mpsc::channel();
     let log = Arc::new(Mutex::new(Vec::new()));
     let (prefix, lines) = (name.clone(), log.clone());
-    // The pipe must not fill up, so it is read to its end.
+    // Reads the pipe to its end so that it does not fill up and block the process.
     thread::spawn(move || {
         for line in stderr.lines().map_while(Result::ok) {
             if let Some((_, rest)) = line.split_once("listening on ") {
                 let address = rest.split(|c: char| c.is_whitespace() || c == '"').next();
-                let _ = told.send(address.and_then(|a| a.parse::<SocketAddr>().ok()));
+                let _ = address_sender.send(address.and_then(|a| a.parse::<SocketAddr>().ok()));
             }
             eprintln!("{prefix}: {line}");
             lines.lock().expect("a log").push(line);
         }
     });
-    let address = heard.recv_timeout(START).ok().flatten();
+    let address = address_receiver.recv_timeout(START).ok().flatten();
     let Some(address) = address else {
         let _ = child.kill();
-        panic!("{name} did not say where it listens within {START:?}");
+        panic!("{name} did not log its listening address within {START:?}");
     };
     Process { name, address, child, args, env, log }
 }
@@ -262,18 +261,18 @@
     }
 }
 
-/// One GET on a connection of its own: [`ask`].
+/// Sends a GET request with [`ask`].
 pub fn get(address: SocketAddr, path: &str, headers: &[&str]) -> Option<(u16, String)> {
     ask(address, "GET", path, headers, "")
 }
 
-/// One POST on a connection of its own, with a JSON body: [`ask`].
+/// Sends a POST request with a JSON body with [`ask`].
 pub fn post(address: SocketAddr, path: &str, body: &str) -> Option<(u16, String)> {
     ask(address, "POST", path, &[], body)
 }
 
-/// One request on a connection of its own, read to its end: the status and the body (chunked or not, as it
-/// came). `None` where nothing answered within a few seconds.
+/// Sends a request on a new connection and reads it to its end. Returns the status and the raw body (chunked
+/// encoding is not decoded), or `None` if no answer arrives within a few seconds.
 pub fn ask(
     address: SocketAddr,
     method: &str,
@@ -296,34 +295,34 @@
     Some((status, body))
 }
 
-/// [`get`], its answer read as JSON; null where there was none.
+/// [`get`], with its answer parsed as JSON; null without an answer.
 pub fn look(address: SocketAddr, path: &str) -> Value {
     let answer = get(address, path, &[]);
     answer.and_then(|(_, body)| serde_json::from_str(&body).ok()).unwrap_or_default()
 }
 
-/// The list services of one cluster.
+/// A cluster of list service instances.
 pub struct Cluster {
-    /// Indices in the fleet.
+    /// Index in the fleet of each instance.
     pub at: Vec<usize>,
-    /// Where each is read.
+    /// The list address of each instance.
     pub lists: Vec<SocketAddr>,
-    /// Where each is called.
+    /// The management address of each instance.
     pub calls: Vec<SocketAddr>,
-    /// Where each keeps its state.
+    /// The state directory of each instance.
     pub dirs: Vec<PathBuf>,
-    /// Which decided last: asked first, for another may be paused and keep its caller waiting.
-    decided: Cell<SocketAddr>,
+    /// The last known leader, called first, since a paused instance would block its caller.
+    last_leader: Cell<SocketAddr>,
 }
 
 impl Cluster {
-    /// Starts `n` instances with these lines in the file of each, and waits until one leads and all can be read.
+    /// Starts `n` instances with `extra` in the configuration of each, and waits for a leader and until all are ready.
     pub fn start(fleet: &mut Fleet, n: usize, extra: &str) -> Self {
         Self::start_routed(fleet, n, extra, &mut |_, _, at| at)
     }
 
-    /// The same, where instance `from` reaches the `management` address of instance `to` by what `route(from, to,
-    /// address)` says; its own address has to stay as it is.
+    /// Like [`Self::start`], where instance `from` reaches the `management` address of instance `to` at the address
+    /// returned by `route(from, to, address)`, which must return an instance's own address unchanged.
     pub fn start_routed(
         fleet: &mut Fleet,
         n: usize,
@@ -352,14 +351,14 @@
             let args = ["discovery", "--config", file.to_str().expect("UTF-8")];
             at.push(fleet.start(&format!("list-{}", i + 1), &args, &[]));
         }
-        let decided = Cell::new(calls[0]);
-        let cluster = Self { at, lists, calls, dirs, decided };
+        let last_leader = Cell::new(calls[0]);
+        let cluster = Self { at, lists, calls, dirs, last_leader };
         cluster.leader(None);
         cluster.at.iter().for_each(|i| fleet.ready(*i));
         cluster
     }
 
-    /// Waits for a leader other than `not` that the others agree on: which it is.
+    /// Waits until an instance other than `not` reports that it leads, and returns its index.
     pub fn leader(&self, not: Option<usize>) -> usize {
         let mut leader = None;
         until("a leader", START, || {
@@ -368,19 +367,19 @@
             leader.is_some()
         });
         let leader = leader.expect("found");
-        self.decided.set(self.calls[leader]);
+        self.last_leader.set(self.calls[leader]);
         leader
     }
 
-    /// Where all are called, with commas between.
+    /// The management addresses of all instances, comma-separated.
     pub fn services(&self) -> String {
         let all: Vec<String> = self.calls.iter().map(ToString::to_string).collect();
         all.join(",")
     }
 
-    /// A write, made of whichever instance decides; the status and answer.
+    /// Sends a write to the instances in turn until one accepts or rejects it; returns its status and answer.
     pub fn write(&self, path: &str, body: &str) -> (u16, Value) {
-        let (from, mut at) = (Instant::now(), self.decided.get());
+        let (from, mut at) = (Instant::now(), self.last_leader.get());
         for next in self.calls.iter().cycle() {
             let asked = at;
             let answer = post(asked, path, body);
@@ -389,22 +388,25 @@
             let value = value.unwrap_or_default();
             at = *next;
             match answer.map(|(status, _)| status) {
-                // It names the leader, where it knows one.
+                // Not the leader; the answer names the leader if it is known.
                 Some(421) if value["leader"].is_string() => {
                     at = value["leader"].as_str().and_then(|a| a.parse().ok()).unwrap_or(at);
                 }
                 None | Some(421 | 503) => thread::sleep(Duration::from_millis(10)),
                 Some(status) => {
-                    self.decided.set(asked);
+                    self.last_leader.set(asked);
                     return (status, value);
                 }
             }
-            assert!(from.elapsed() < START, "{path}: nobody decided within {START:?}");
+            assert!(
+                from.elapsed() < START,
+                "{path}: no instance answered as leader within {START:?}"
+            );
         }
         unreachable!("cycles")
     }
 
-    /// Registers a member without a TTL; the revision after it.
+    /// Registers a member without a TTL, and returns the resulting revision.
     pub fn register(&self, id: &str, address: SocketAddr) -> u64 {
         let (status, answer) = self.write("/admin/members", &member(id, address));
         assert_eq!(status, 200, "{answer}");
@@ -419,10 +421,10 @@
     json!({ "member": member }).to_string()
 }
 
-/// A watch on the list, read line by line.
+/// A watch on the list, parsed line by line.
 pub struct Watch {
     stream: TcpStream,
-    seen: Vec<u8>,
+    buffered: Vec<u8>,
 }
 
 impl Watch {
@@ -430,30 +432,30 @@
         Self::open_with(at, index, "")
     }
 
-    /// The same with more in its query.
+    /// Like [`Self::open`], with `query` appended to the query string.
     pub fn open_with(at: SocketAddr, index: u64, query: &str) -> Self {
         let mut stream = TcpStream::connect(at).expect("it accepts");
         stream.set_read_timeout(Some(Duration::from_millis(50))).expect("a timeout");
         let target = format!("/api/targets?stream=1&index={index}{query}");
         let head = format!("GET {target} HTTP/1.1\r\nHost: a\r\n\r\n");
         stream.write_all(head.as_bytes()).expect("sent");
-        Self { stream, seen: Vec::new() }
+        Self { stream, buffered: Vec::new() }
     }
 
-    /// The next message within this time; `None` for none, or where the watch has ended.
+    /// Returns the next message within this time; `None` if there is none or the watch has ended.
     pub fn next(&mut self, within: Duration) -> Option<Value> {
         let (from, mut buffer) = (Instant::now(), [0; 1 << 16]);
         loop {
-            while let Some(end) = self.seen.iter().position(|b| *b == b'\n') {
-                let line: Vec<u8> = self.seen.drain(..=end).collect();
-                // What is no object is the head, a chunk's size, or a heartbeat.
+            while let Some(end) = self.buffered.iter().position(|b| *b == b'\n') {
+                let line: Vec<u8> = self.buffered.drain(..=end).collect();
+                // Lines other than JSON objects are the response head, chunk sizes or heartbeats.
                 if let Ok(message @ Value::Object(_)) = serde_json::from_slice(&line) {
                     return Some(message);
                 }
             }
             match self.stream.read(&mut buffer) {
                 Ok(0) => return None,
-                Ok(n) => self.seen.extend_from_slice(&buffer[..n]),
+                Ok(n) => self.buffered.extend_from_slice(&buffer[..n]),
                 Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {}
                 Err(_) => return None,
             }
@@ -464,10 +466,10 @@
     }
 }
 
-/// The headers of a request that a proxy with `examples/proxy.json` takes.
+/// Headers of a valid request to a proxy configured by `examples/proxy.json`.
 pub const ASK: [&str; 3] = ["X-Class: read", "X-Deadline-Ms: 2000", "X-Request-Id: t-1"];
 
-/// The environment of a proxy with `examples/proxy.json` on free ports.
+/// The environment of a proxy configured by `examples/proxy.json`, on free ports.
 pub fn proxy_env(discovery: &str) -> Vec<(&'static str, String)> {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/proxy.json");
     vec![
@@ -479,7 +481,8 @@
 }
 
 impl Fleet {
-    /// Starts a proxy with `examples/proxy.json`, this list and what else is set; its index and where operators call.
+    /// Starts a proxy configured by `examples/proxy.json` with this list service and more environment variables.
+    /// Returns its index and management address.
     pub fn proxy(
         &mut self,
         name: &str,
