--- a/tests/services.rs
+++ b/tests/services.rs
@@ -1,11 +1,16 @@
-//! Several services of one balancer under random schedules of lists, requests, outcomes and reloads, beside a model of
-//! who is whose that this file keeps itself.
+//! Tests several services of one balancer with random schedules of list updates, requests, outcomes and reloads,
+//! against an independent model of which upstream belongs to which service.
 //!
-//! Asserted over all schedules: a request goes only to an upstream that the last news calls live in its own service;
-//! each request ends once and none stays; an update is told to the services that it concerns alone; the list is asked
-//! for by one service, and after a loss it is; a handle is never another service's; a reload that is refused changes
-//! nothing; idle connections to what left are closed for as long as the rule says; a service does the same whether
-//! others are beside it or not; and when all is done, no timer is armed.
+//! Invariants checked in every schedule:
+//! - A request is sent only to an upstream that the latest list update reports as live in the request's service.
+//! - Each request ends exactly once, and none remains open.
+//! - An update is passed only to the services that it concerns.
+//! - Only one service subscribes to the list, and it subscribes again after the list is lost.
+//! - A handle never belongs to two services.
+//! - A refused reload changes nothing.
+//! - Idle connections to an upstream that left are closed repeatedly for the configured time.
+//! - A service behaves the same with or without other services.
+//! - No timer remains armed after all work has ended.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
@@ -23,23 +28,24 @@
 const SCHEDULES: u64 = 10_000;
 const STEPS: usize = 40;
 const MS: i64 = 1000;
-/// A tick, and how long idle connections to what leaves are closed again and again.
 const TICK: Span = Span(5 * MS);
+/// How long idle connections to an upstream that left are closed repeatedly.
 const CLOSE_WITHIN: Span = Span(50 * MS);
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
-/// What happens; drawn before it is played, so that the same can be played to other services.
+/// One step of a schedule, drawn in advance so that the same schedule can be run with other services.
 #[derive(Clone, Debug)]
 enum Step {
     List(ListKind, Vec<Entry>),
-    Lost,
+    ListUnavailable,
     Request(&'static str),
-    /// The oldest attempt of this service that is out ends.
-    Ended(&'static str, Outcome),
-    /// The client of the oldest request of this service goes.
-    Left(&'static str),
-    Pass(i64),
-    /// These services, by bits, are in force, or are tried with other settings.
+    /// The oldest attempt in flight of this service ends.
+    AttemptEnded(&'static str, Outcome),
+    /// The client of the oldest open request of this service disconnects.
+    ClientLeft(&'static str),
+    /// Time passes, in milliseconds.
+    Advance(i64),
+    /// Reloads the catalog with the services in this bit mask, with changed settings if the flag is set.
     Reload(u32, bool),
 }
 
@@ -54,9 +60,9 @@
     serde_json::from_value(text).expect("sound")
 }
 
-fn catalog(mask: u32, others: bool) -> Rc<Catalog> {
+fn catalog(mask: u32, changed_settings: bool) -> Rc<Catalog> {
     let names = NAMES.iter().enumerate().filter(|(i, _)| mask & (1 << i) != 0).map(|(_, n)| *n);
-    let worth = others.then_some(0.5);
+    let worth = changed_settings.then_some(0.5);
     let settings = || Overrides { over_share_worth: worth, ..Overrides::default() };
     let entries: Vec<_> = names
         .clone()
@@ -81,8 +87,8 @@
     }
 }
 
-/// `last` is the service that the entry of this id named last.
-fn random_entry(random: &mut StdRng, id: u32, whole: bool, last: &mut &'static str) -> Entry {
+/// `last` is the service named by the previous entry of this id.
+fn random_entry(random: &mut StdRng, id: u32, full: bool, last: &mut &'static str) -> Entry {
     let stays = random.gen_bool(0.5);
     let service = match random.gen_range(0..12) {
         _ if stays => *last,
@@ -93,10 +99,10 @@
     let phase = match random.gen_range(0..10) {
         0..=5 => Phase::Serving,
         6 | 7 => Phase::Draining,
-        _ if whole => Phase::Serving,
+        _ if full => Phase::Serving,
         _ => Phase::Deleted,
     };
-    // Of one that is deleted a list may say whose it was, or not.
+    // The entry of a deleted member may or may not name its service.
     let service = match phase {
         Phase::Deleted if stays => "",
         Phase::Deleted => *last,
@@ -107,12 +113,11 @@
     entry(id, service, phase, address)
 }
 
-/// `steady` schedules leave the first service in force.
-fn script(random: &mut StdRng, steady: bool) -> Vec<Step> {
+/// Draws the steps of a schedule; `steady` schedules never remove the first service.
+fn draw_steps(random: &mut StdRng, steady: bool) -> Vec<Step> {
     let mut last = ["elsewhere"; 8];
-    let mut entry = |random: &mut StdRng, id: u32, whole| {
-        random_entry(random, id, whole, &mut last[id as usize])
-    };
+    let mut entry =
+        |random: &mut StdRng, id: u32, full| random_entry(random, id, full, &mut last[id as usize]);
     let first = (0..8).map(|i| entry(random, i, true)).collect();
     let mut step = |random: &mut StdRng| {
         let name = NAMES[random.gen_range(0..NAMES.len())];
@@ -124,91 +129,92 @@
             }
             6..=17 => {
                 let n = random.gen_range(1..4);
-                // A list names each at most once.
+                // A list contains each member at most once.
                 let ids: BTreeSet<u32> = (0..n).map(|_| random.gen_range(0..8)).collect();
                 let entries = ids.iter().map(|i| entry(random, *i, false)).collect();
                 Step::List(ListKind::Update, entries)
             }
-            18..=19 => Step::Lost,
+            18..=19 => Step::ListUnavailable,
             20..=49 => Step::Request(name),
             50..=69 => {
                 let all = [Outcome::Ok, Outcome::Error, Outcome::Full, Outcome::ConnectFailed];
                 let ok = random.gen_bool(0.6);
-                Step::Ended(name, if ok { Outcome::Ok } else { all[random.gen_range(1..4)] })
+                Step::AttemptEnded(name, if ok { Outcome::Ok } else { all[random.gen_range(1..4)] })
             }
-            70..=72 => Step::Left(name),
-            73..=94 => Step::Pass([1, 5, 20, 80, 400][random.gen_range(0..5)]),
+            70..=72 => Step::ClientLeft(name),
+            73..=94 => Step::Advance([1, 5, 20, 80, 400][random.gen_range(0..5)]),
             _ => {
                 let mask = random.gen_range(1..1 << NAMES.len()) | u32::from(steady);
                 Step::Reload(mask, random.gen_bool(0.2))
             }
         }
     };
-    let mut script = vec![Step::List(ListKind::Full, first)];
-    script.extend((0..STEPS).map(|_| step(random)));
-    script
+    let mut steps = vec![Step::List(ListKind::Full, first)];
+    steps.extend((0..STEPS).map(|_| step(random)));
+    steps
 }
 
-struct Held {
+struct RequestState {
     service: ServiceId,
     name: &'static str,
-    over: bool,
-    /// Each attempt's upstream, start, and whether it is out.
+    finished: bool,
+    /// Each attempt's upstream, start, and whether it is in flight.
     attempts: Vec<(ServerId, Time, bool)>,
     closed: bool,
 }
 
-enum Due {
+enum ScheduledEvent {
     Timer(ServiceId, u64),
     Timeout(u64, usize),
 }
 
-/// A caller that carries out what it is told, and the model beside it.
-struct Caller {
+/// Executes the actions that the services return, and checks them against the model.
+struct Simulation {
     services: Services,
     now: Time,
-    due: BTreeMap<(Time, u64), Due>,
+    events: BTreeMap<(Time, u64), ScheduledEvent>,
     sequence: u64,
-    fired: usize,
-    held: BTreeMap<u64, Held>,
+    timers_fired: usize,
+    requests: BTreeMap<u64, RequestState>,
     revision: u64,
-    /// By the list's id: whose it is, and what.
-    known: BTreeMap<String, (ServiceId, Status)>,
-    /// The id and the service of each handle.
+    /// The model: service and status of each member, by its id in the list.
+    expected: BTreeMap<String, (ServiceId, Status)>,
+    /// Member id and service of each handle.
     servers: HashMap<ServerId, (String, Option<ServiceId>)>,
-    /// The last handle of each id.
-    latest: HashMap<String, ServerId>,
-    /// Of what has left: when that was told or an attempt there ended last, and when it was closed last.
+    /// The newest handle of each member id.
+    latest_handle: HashMap<String, ServerId>,
+    /// For each upstream that left: the later of its removal and the end of its last attempt, and when its idle
+    /// connections were last closed.
     leaving: HashMap<ServerId, (Time, Time)>,
     status: HashMap<ServerId, Status>,
     subscribed: usize,
-    /// Whether the service of each name was last in force with other settings.
-    others: [bool; NAMES.len()],
-    /// What the first name's services were asked to do.
+    /// Whether the service of each name last ran with changed settings.
+    changed_settings: [bool; NAMES.len()],
+    /// Actions of the service with the first name.
     log: Vec<(Time, String)>,
-    sends: usize,
+    attempts_sent: usize,
 }
 
-impl Caller {
+impl Simulation {
     fn new(mask: u32) -> Self {
         let now = Time(1_000_000 * MS);
         Self {
             services: Services::new(catalog(mask, false), 7, now).expect("sound"),
             now,
-            due: BTreeMap::new(),
+            events: BTreeMap::new(),
             sequence: 0,
-            fired: 0,
-            held: BTreeMap::new(),
+            timers_fired: 0,
+            requests: BTreeMap::new(),
             revision: 0,
-            known: BTreeMap::new(),
+            expected: BTreeMap::new(),
             servers: HashMap::new(),
-            latest: HashMap::new(),
+            latest_handle: HashMap::new(),
             leaving: HashMap::new(),
             status: HashMap::new(),
             subscribed: 0,
-            others: [false; NAMES.len()],
+            changed_settings: [false; NAMES.len()],
             log: Vec::new(),
-            sends: 0,
+            attempts_sent: 0,
         }
     }
 
@@ -216,226 +222,252 @@
         self.services.routing().find("", &format!("/{name}")).map(|(id, _)| id)
     }
 
-    fn at(&mut self, at: Time, due: Due) {
+    fn schedule_event(&mut self, at: Time, event: ScheduledEvent) {
         self.sequence += 1;
-        self.due.insert((at, self.sequence), due);
+        self.events.insert((at, self.sequence), event);
     }
 
-    fn tell(&mut self, service: ServiceId, event: Event<'_>) {
+    fn handle_event(&mut self, service: ServiceId, event: Event<'_>) {
         let mut actions = Vec::new();
         self.services.handle(self.now, service, event, &mut actions);
         let mut cancelled = Vec::new();
         for action in actions {
             if self.find("a") == Some(service) && !matches!(action, Action::Arm { .. }) {
-                let said = match action {
+                let description = match action {
                     Action::Send { request, server, timeout, .. } => {
                         format!("{request:?} to {} within {timeout:?}", self.servers[&server].0)
                     }
                     Action::CloseIdle { server } => format!("close {}", self.servers[&server].0),
                     other => format!("{other:?}"),
                 };
-                self.log.push((self.now, said));
+                self.log.push((self.now, description));
             }
             match action {
                 Action::Send { request, server, timeout, .. } => {
-                    self.sent(service, request.0, server, timeout);
+                    self.record_send(service, request.0, server, timeout);
                 }
                 Action::Refuse { request, .. } | Action::Fail { request } => {
-                    assert_eq!(self.held[&request.0].service, service, "another's request");
-                    self.end(request.0);
+                    assert_eq!(
+                        self.requests[&request.0].service, service,
+                        "refused or failed another service's request"
+                    );
+                    self.end_request(request.0);
                 }
                 Action::Cancel { request, attempt } => cancelled.push((request.0, attempt)),
                 Action::Arm { token, at } => {
-                    assert!(at > self.now, "armed for the past");
-                    self.at(at, Due::Timer(service, token));
+                    assert!(at > self.now, "timer armed for the past");
+                    self.schedule_event(at, ScheduledEvent::Timer(service, token));
                 }
                 Action::CloseIdle { server } => {
-                    let of = self.servers[&server].1;
-                    assert_eq!(of, Some(service), "closes another's connections");
+                    let owner = self.servers[&server].1;
+                    assert_eq!(owner, Some(service), "closed another service's connections");
                     if let Some((_, closed)) = self.leaving.get_mut(&server) {
                         *closed = self.now;
                     }
                 }
                 Action::Subscribe => {
-                    let asks = self.services.ids().first().copied();
-                    assert_eq!(asks, Some(service), "asked for by another than the first");
+                    let subscriber = self.services.ids().first().copied();
+                    assert_eq!(
+                        subscriber,
+                        Some(service),
+                        "subscribed by a service other than the first"
+                    );
                     self.subscribed += 1;
                 }
-                Action::Probe { .. } => panic!("no probes"),
+                Action::Probe { .. } => panic!("probes are disabled"),
             }
         }
         for (request, attempt) in cancelled {
-            self.ended(request, attempt, Outcome::Cancelled);
+            self.end_attempt(request, attempt, Outcome::Cancelled);
         }
     }
 
-    fn sent(&mut self, service: ServiceId, request: u64, server: ServerId, timeout: Span) {
-        self.sends += 1;
-        let (id, of) = &self.servers[&server];
-        assert_eq!(*of, Some(service), "sent to an upstream of another service");
-        assert_eq!(self.known.get(id), Some(&(service, Status::Live)), "sent to {id}");
-        assert_eq!(self.latest[id], server, "sent to what {id} was before it moved");
-        assert!(self.services.serves(service), "sent for a service that was removed");
+    fn record_send(&mut self, service: ServiceId, request: u64, server: ServerId, timeout: Span) {
+        self.attempts_sent += 1;
+        let (id, owner) = &self.servers[&server];
+        assert_eq!(*owner, Some(service), "sent to an upstream of another service");
+        assert_eq!(
+            self.expected.get(id),
+            Some(&(service, Status::Live)),
+            "sent to {id}, which is not live in this service"
+        );
+        assert_eq!(self.latest_handle[id], server, "sent to an outdated handle of {id}");
+        assert!(self.services.serves(service), "sent for a removed service");
         let now = self.now;
-        let held = self.held.get_mut(&request).expect("a request that is there");
-        assert!(held.service == service && !held.over, "sent for another, or after its end");
-        held.attempts.push((server, now, true));
-        let attempt = held.attempts.len() - 1;
-        self.at(now.plus(timeout), Due::Timeout(request, attempt));
+        let state = self.requests.get_mut(&request).expect("a known request");
+        assert!(
+            state.service == service && !state.finished,
+            "sent for another service's request or after its end"
+        );
+        state.attempts.push((server, now, true));
+        let attempt = state.attempts.len() - 1;
+        self.schedule_event(now.plus(timeout), ScheduledEvent::Timeout(request, attempt));
     }
 
-    fn end(&mut self, request: u64) {
-        let held = self.held.get_mut(&request).expect("a request that is there");
-        assert!(!held.over, "a second end of {request}");
-        held.over = true;
-        self.forget(request);
+    fn end_request(&mut self, request: u64) {
+        let state = self.requests.get_mut(&request).expect("a known request");
+        assert!(!state.finished, "request {request} ended twice");
+        state.finished = true;
+        self.close_if_done(request);
     }
 
-    fn forget(&mut self, request: u64) {
-        let held = self.held.get_mut(&request).expect("a request that is there");
-        if held.over && !held.closed && held.attempts.iter().all(|(.., out)| !out) {
-            held.closed = true;
-            self.services.request_closed(held.service);
+    fn close_if_done(&mut self, request: u64) {
+        let state = self.requests.get_mut(&request).expect("a known request");
+        if state.finished
+            && !state.closed
+            && state.attempts.iter().all(|(.., in_flight)| !in_flight)
+        {
+            state.closed = true;
+            self.services.request_closed(state.service);
         }
     }
 
-    fn ended(&mut self, request: u64, attempt: usize, outcome: Outcome) {
-        let held = self.held.get_mut(&request).expect("a request that is there");
-        let (server, sent, out) = &mut held.attempts[attempt];
-        if !std::mem::replace(out, false) {
+    fn end_attempt(&mut self, request: u64, attempt: usize, outcome: Outcome) {
+        let state = self.requests.get_mut(&request).expect("a known request");
+        let (server, sent, in_flight) = &mut state.attempts[attempt];
+        if !std::mem::replace(in_flight, false) {
             return;
         }
-        let (server, latency, service) = (*server, self.now.since(*sent), held.service);
-        held.over |= outcome == Outcome::Ok;
-        let over = held.over;
+        let (server, latency, service) = (*server, self.now.since(*sent), state.service);
+        state.finished |= outcome == Outcome::Ok;
+        let finished = state.finished;
         if self.services.serves(service) && self.status[&server] != Status::Live {
             self.leaving.insert(server, (self.now, self.now));
         }
-        let answer = Answer::new(RequestId(request), attempt, server, outcome, latency, over);
-        self.tell(service, Event::Answered(answer));
-        self.forget(request);
+        let answer = Answer::new(RequestId(request), attempt, server, outcome, latency, finished);
+        self.handle_event(service, Event::Answered(answer));
+        self.close_if_done(request);
     }
 
-    fn left(&mut self, request: u64) {
-        let service = self.held[&request].service;
-        self.held.get_mut(&request).expect("it is there").over = true;
-        self.tell(service, Event::Left(RequestId(request)));
-        self.forget(request);
+    fn client_left(&mut self, request: u64) {
+        let service = self.requests[&request].service;
+        self.requests.get_mut(&request).expect("a known request").finished = true;
+        self.handle_event(service, Event::Left(RequestId(request)));
+        self.close_if_done(request);
     }
 
-    /// What the list says, in the model: whose each upstream is, and which services an update concerns.
-    fn learn(&mut self, kind: ListKind, entries: &[Entry]) -> Vec<ServiceId> {
+    /// Applies a list to the model, and returns the services that it concerns.
+    fn update_model(&mut self, kind: ListKind, entries: &[Entry]) -> Vec<ServiceId> {
         let mut concerned = Vec::new();
         if kind != ListKind::Update {
             let named = |id: &String| entries.iter().any(|e| e.id == *id);
-            let left_out = self.known.iter_mut().filter(|(id, _)| !named(id));
+            let left_out = self.expected.iter_mut().filter(|(id, _)| !named(id));
             left_out.for_each(|(_, (_, status))| *status = Status::Gone);
         }
         for e in entries {
-            let known = self.known.get(&e.id).copied();
-            let of = match known {
-                Some((of, _)) if e.phase == Phase::Deleted => Some(of),
+            let previous = self.expected.get(&e.id).copied();
+            let owner = match previous {
+                Some((owner, _)) if e.phase == Phase::Deleted => Some(owner),
                 _ => self.find(&e.service).filter(|_| !e.service.is_empty()),
             };
-            if let Some((before, _)) = known.filter(|(before, _)| Some(*before) != of) {
+            if let Some((before, _)) = previous.filter(|(before, _)| Some(*before) != owner) {
                 concerned.push(before);
-                self.known.remove(&e.id);
+                self.expected.remove(&e.id);
             }
-            let Some(of) = of else { continue };
-            if e.host_port == "nowhere" && !self.known.contains_key(&e.id) {
+            let Some(owner) = owner else { continue };
+            if e.host_port == "nowhere" && !self.expected.contains_key(&e.id) {
                 continue;
             }
-            concerned.push(of);
+            concerned.push(owner);
             let status = match e.phase {
                 Phase::Serving => Status::Live,
                 Phase::Deleted => Status::Gone,
                 _ => Status::Draining,
             };
-            self.known.insert(e.id.clone(), (of, status));
+            self.expected.insert(e.id.clone(), (owner, status));
         }
         concerned
     }
 
-    fn list(&mut self, kind: ListKind, members: Vec<Entry>) {
+    fn apply_list(&mut self, kind: ListKind, members: Vec<Entry>) {
         self.revision += 1;
-        let concerned = self.learn(kind, &members);
+        let concerned = self.update_model(kind, &members);
         let list = Message { revision: self.revision, complete: kind != ListKind::Update, members };
-        let told = self.services.apply_list(&list, kind);
-        for change in &told.changes {
+        let applied = self.services.apply_list(&list, kind);
+        for change in &applied.changes {
             let server = self.servers.entry(change.server);
             let (id, _) = server.or_insert_with(|| (change.id.clone(), None));
-            assert_eq!(*id, change.id, "a handle of two upstreams");
+            assert_eq!(*id, change.id, "one handle for two upstreams");
             let was = self.status.insert(change.server, change.status);
             if change.status == Status::Live {
                 self.leaving.remove(&change.server);
             } else if was == Some(Status::Live) && kind != ListKind::Restored {
                 self.leaving.insert(change.server, (self.now, self.now));
             }
-            if change.status != Status::Gone || !self.latest.contains_key(&change.id) {
-                self.latest.insert(change.id.clone(), change.server);
+            if change.status != Status::Gone || !self.latest_handle.contains_key(&change.id) {
+                self.latest_handle.insert(change.id.clone(), change.server);
             }
         }
-        for (service, part) in &told.members {
-            let asks = self.services.ids().first() == Some(service);
-            let of_whole = kind != ListKind::Update;
-            assert!(of_whole || asks || concerned.contains(service), "told what is not its own");
+        for (service, part) in &applied.members {
+            let subscriber = self.services.ids().first() == Some(service);
+            let is_full = kind != ListKind::Update;
+            assert!(
+                is_full || subscriber || concerned.contains(service),
+                "notified of another service's upstreams"
+            );
             for member in part {
-                let (_, of) = self.servers.get_mut(&member.id).expect("a change told of it");
-                assert_eq!(*of.get_or_insert(*service), *service, "a handle of two services");
+                let (_, owner) = self.servers.get_mut(&member.id).expect("a change introduced it");
+                assert_eq!(*owner.get_or_insert(*service), *service, "one handle in two services");
             }
         }
         if kind != ListKind::Update {
-            let parts: Vec<_> = told.members.iter().map(|(service, _)| *service).collect();
-            assert_eq!(parts, self.services.ids(), "a whole list is every service's");
+            let parts: Vec<_> = applied.members.iter().map(|(service, _)| *service).collect();
+            assert_eq!(parts, self.services.ids(), "a full list is passed to every service");
         }
-        // What each service was told last of an upstream is what the model has.
-        for (service, part) in &told.members {
+        // The last status of each upstream passed to a service must match the model.
+        for (service, part) in &applied.members {
             let last: HashMap<&str, Status> =
                 part.iter().map(|m| (self.servers[&m.id].0.as_str(), m.status)).collect();
             for (id, status) in last {
-                let of_it = self.known.get(id).filter(|(of, _)| of == service);
-                assert_eq!(status, of_it.map_or(Status::Gone, |(_, s)| *s), "{id} of {service:?}");
+                let expected = self.expected.get(id).filter(|(owner, _)| owner == service);
+                assert_eq!(
+                    status,
+                    expected.map_or(Status::Gone, |(_, s)| *s),
+                    "{id} of {service:?}"
+                );
             }
             let live = |m: &(&String, &(ServiceId, Status))| *m.1 == (*service, Status::Live);
-            for (id, _) in self.known.iter().filter(live).filter(|_| kind != ListKind::Update) {
-                assert!(part.iter().any(|m| self.servers[&m.id].0 == *id), "{id} is left out");
+            for (id, _) in self.expected.iter().filter(live).filter(|_| kind != ListKind::Update) {
+                assert!(part.iter().any(|m| self.servers[&m.id].0 == *id), "{id} is missing");
             }
         }
         self.check_live();
-        for (service, part) in &told.members {
-            self.tell(*service, Event::Members { kind, list: part });
+        for (service, part) in &applied.members {
+            self.handle_event(*service, Event::Members { kind, list: part });
         }
     }
 
     fn check_live(&self) {
-        let live = self.known.values().any(|(_, status)| *status == Status::Live);
-        assert_eq!(self.services.any_live(), live, "whether any takes requests");
+        let live = self.expected.values().any(|(_, status)| *status == Status::Live);
+        assert_eq!(self.services.any_live(), live, "any_live disagrees with the model");
     }
 
-    fn lost(&mut self) {
+    fn list_unavailable(&mut self) {
         for service in self.services.ids() {
-            self.tell(service, Event::Members { kind: ListKind::Unavailable, list: &[] });
+            self.handle_event(service, Event::Members { kind: ListKind::Unavailable, list: &[] });
         }
     }
 
-    fn reload(&mut self, mask: u32, others: bool) {
+    fn reload(&mut self, mask: u32, changed_settings: bool) {
         let before = self.services.ids();
-        let of = NAMES.map(|n| self.find(n));
+        let handles = NAMES.map(|n| self.find(n));
         let wanted = |i: usize| mask & (1 << i) != 0;
-        let differs = |i: usize| wanted(i) && of[i].is_some() && self.others[i] != others;
+        let differs = |i: usize| {
+            wanted(i) && handles[i].is_some() && self.changed_settings[i] != changed_settings
+        };
         let refused = (0..NAMES.len()).any(differs);
-        match self.services.reload(catalog(mask, others), self.now) {
+        match self.services.reload(catalog(mask, changed_settings), self.now) {
             Err(e) => {
                 assert!(refused && matches!(e, ReloadError::Settings(_)), "{e}");
-                assert_eq!((self.services.ids(), NAMES.map(|n| self.find(n))), (before, of));
+                assert_eq!((self.services.ids(), NAMES.map(|n| self.find(n))), (before, handles));
             }
-            Ok(_) if refused => panic!("other settings for a service that is served"),
+            Ok(_) if refused => panic!("reload accepted changed settings of a served service"),
             Ok(reloaded) => {
                 for (i, name) in NAMES.iter().enumerate() {
-                    match (of[i], self.find(name)) {
+                    match (handles[i], self.find(name)) {
                         (Some(was), is) if wanted(i) => assert_eq!(is, Some(was), "{name} stays"),
                         (None, Some(is)) if wanted(i) => {
-                            assert!(before.iter().all(|b| *b < is), "another's handle");
+                            assert!(before.iter().all(|b| *b < is), "reused a service handle");
                         }
                         (was, is) => {
                             assert!(is.is_none() && !wanted(i), "{name} is not served");
@@ -446,172 +478,191 @@
                         }
                     }
                 }
-                (0..NAMES.len()).filter(|i| wanted(*i)).for_each(|i| self.others[i] = others);
-                self.known.retain(|_, (of, _)| !reloaded.removed.contains(of));
+                (0..NAMES.len())
+                    .filter(|i| wanted(*i))
+                    .for_each(|i| self.changed_settings[i] = changed_settings);
+                self.expected.retain(|_, (owner, _)| !reloaded.removed.contains(owner));
                 self.check_live();
                 self.leaving.retain(|server, _| {
-                    self.servers[server].1.is_none_or(|of| !reloaded.removed.contains(&of))
+                    self.servers[server].1.is_none_or(|owner| !reloaded.removed.contains(&owner))
                 });
                 for service in reloaded.removed {
                     assert!(!self.services.serves(service));
-                    self.tell(service, Event::Members { kind: ListKind::Full, list: &[] });
-                    let waits = |h: &Held| {
-                        h.service == service && !h.over && h.attempts.iter().all(|(.., out)| !out)
+                    self.handle_event(service, Event::Members { kind: ListKind::Full, list: &[] });
+                    let waits = |h: &RequestState| {
+                        h.service == service
+                            && !h.finished
+                            && h.attempts.iter().all(|(.., in_flight)| !in_flight)
                     };
                     let waiting: Vec<u64> =
-                        self.held.iter().filter(|(_, h)| waits(h)).map(|(id, _)| *id).collect();
-                    waiting.into_iter().for_each(|id| self.left(id));
+                        self.requests.iter().filter(|(_, h)| waits(h)).map(|(id, _)| *id).collect();
+                    waiting.into_iter().for_each(|id| self.client_left(id));
                 }
             }
         }
     }
 
-    /// Idle connections to what left were closed up to the end of the rule's time, but for two ticks.
+    /// Checks that idle connections to upstreams that left were closed until the end of the configured time, within two
+    /// ticks.
     fn check_closed(&mut self, now: Time) {
         let (servers, tick) = (&self.servers, Span(2 * TICK.0));
         self.leaving.retain(|server, (used, closed)| {
-            let over = now > used.plus(CLOSE_WITHIN).plus(tick);
+            let expired = now > used.plus(CLOSE_WITHIN).plus(tick);
             let last = closed.plus(tick) >= used.plus(CLOSE_WITHIN);
-            assert!(!over || last, "{} left, last closed at {closed:?}", servers[server].0);
-            !over
+            assert!(!expired || last, "{} left, last closed at {closed:?}", servers[server].0);
+            !expired
         });
     }
 
-    fn pass(&mut self, ms: i64) {
+    fn advance(&mut self, ms: i64) {
         let end = self.now.plus(Span(ms * MS));
-        while let Some(first) = self.due.first_entry().filter(|e| e.key().0 <= end) {
-            let ((at, _), due) = first.remove_entry();
+        while let Some(first) = self.events.first_entry().filter(|e| e.key().0 <= end) {
+            let ((at, _), event) = first.remove_entry();
             self.now = self.now.max(at);
             self.check_closed(self.now);
-            match due {
-                Due::Timer(service, token) => {
-                    self.fired += 1;
-                    self.tell(service, Event::Timer(token));
+            match event {
+                ScheduledEvent::Timer(service, token) => {
+                    self.timers_fired += 1;
+                    self.handle_event(service, Event::Timer(token));
+                }
+                ScheduledEvent::Timeout(request, attempt) => {
+                    self.end_attempt(request, attempt, Outcome::Timeout)
                 }
-                Due::Timeout(request, attempt) => self.ended(request, attempt, Outcome::Timeout),
             }
         }
         self.now = end;
         self.check_closed(end);
     }
 
-    fn play(&mut self, number: usize, step: &Step) {
+    fn run_step(&mut self, number: usize, step: &Step) {
         match step {
-            Step::List(kind, entries) => self.list(*kind, entries.clone()),
-            Step::Lost => self.lost(),
+            Step::List(kind, entries) => self.apply_list(*kind, entries.clone()),
+            Step::ListUnavailable => self.list_unavailable(),
             Step::Request(name) => {
                 let Some(service) = self.find(name) else { return };
                 let id = number as u64;
-                let (attempts, over, closed) = (Vec::new(), false, false);
-                self.held.insert(id, Held { service, name, over, attempts, closed });
+                let (attempts, finished, closed) = (Vec::new(), false, false);
+                self.requests
+                    .insert(id, RequestState { service, name, finished, attempts, closed });
                 self.services.request_opened(service);
                 let request = Request::new(RequestId(id), 0, self.now.plus(Span(300 * MS)));
-                self.tell(service, Event::Request(request));
+                self.handle_event(service, Event::Request(request));
             }
-            Step::Ended(name, outcome) => {
-                let out = |h: &Held| h.attempts.iter().position(|(.., out)| *out);
-                let mut of = self.held.iter().filter(|(_, h)| h.name == *name);
-                if let Some((id, attempt)) = of.find_map(|(id, h)| Some((*id, out(h)?))) {
-                    self.ended(id, attempt, *outcome);
+            Step::AttemptEnded(name, outcome) => {
+                let in_flight =
+                    |h: &RequestState| h.attempts.iter().position(|(.., in_flight)| *in_flight);
+                let mut of = self.requests.iter().filter(|(_, h)| h.name == *name);
+                if let Some((id, attempt)) = of.find_map(|(id, h)| Some((*id, in_flight(h)?))) {
+                    self.end_attempt(id, attempt, *outcome);
                 }
             }
-            Step::Left(name) => {
-                let oldest = self.held.iter().find(|(_, h)| h.name == *name && !h.over);
+            Step::ClientLeft(name) => {
+                let oldest = self.requests.iter().find(|(_, h)| h.name == *name && !h.finished);
                 if let Some(id) = oldest.map(|(id, _)| *id) {
-                    self.left(id);
+                    self.client_left(id);
                 }
             }
-            Step::Pass(ms) => self.pass(*ms),
-            Step::Reload(mask, others) => self.reload(*mask, *others),
+            Step::Advance(ms) => self.advance(*ms),
+            Step::Reload(mask, changed_settings) => self.reload(*mask, *changed_settings),
         }
     }
 
-    /// All is well again: everything ends, and then all rest.
-    fn heal(&mut self) {
-        self.lost();
+    /// Restores a healthy list and checks that every request ends and no timer stays armed.
+    fn settle(&mut self) {
+        self.list_unavailable();
         let asked = self.subscribed;
-        self.pass(1100);
-        assert!(self.subscribed > asked, "the list was lost and nobody asks for it");
+        self.advance(1100);
+        assert!(self.subscribed > asked, "no service subscribed again after the list was lost");
         let fleet = NAMES.iter().zip(0..);
         let fleet = fleet.map(|(n, i)| entry(20 + i, n, Phase::Serving, "127.0.0.1:9"));
-        self.list(ListKind::Full, fleet.collect());
-        self.pass(2000);
-        let open = self.held.iter().find(|(_, h)| !h.over || !h.closed);
+        self.apply_list(ListKind::Full, fleet.collect());
+        self.advance(2000);
+        let open = self.requests.iter().find(|(_, h)| !h.finished || !h.closed);
         assert!(open.is_none(), "request {:?} has not ended", open.map(|(id, _)| id));
-        self.fired = 0;
-        self.pass(10_000);
-        assert_eq!((self.fired, self.due.len()), (0, 0), "something does not rest");
+        self.timers_fired = 0;
+        self.advance(10_000);
+        assert_eq!(
+            (self.timers_fired, self.events.len()),
+            (0, 0),
+            "a timer is still armed or fired after all work ended"
+        );
         self.check_removed();
     }
 
-    /// Of a service that was removed nothing is kept once nothing of it is open: whoever asks there gets no word.
+    /// Checks that a removed service keeps no state once all its requests are closed: its events return no actions.
     fn check_removed(&mut self) {
         let last = self.services.ids().last().map_or(0, |s| s.0);
         for service in (0..=last + 4).map(ServiceId) {
             if self.services.serves(service) {
                 continue;
             }
-            let (mut out, until) = (Vec::new(), self.now.plus(Span(200 * MS)));
+            let (mut actions, until) = (Vec::new(), self.now.plus(Span(200 * MS)));
             let request = Request::new(RequestId(u64::MAX), 0, until);
             self.services.request_opened(service);
-            self.services.handle(self.now, service, Event::Request(request), &mut out);
-            self.services.handle(self.now, service, Event::Timer(1), &mut out);
+            self.services.handle(self.now, service, Event::Request(request), &mut actions);
+            self.services.handle(self.now, service, Event::Timer(1), &mut actions);
             self.services.request_closed(service);
-            assert!(out.is_empty(), "{service:?} was removed and says {out:?}");
+            assert!(actions.is_empty(), "{service:?} was removed but returned {actions:?}");
         }
     }
 }
 
-/// Plays a schedule to all services, and if it is steady to the first alone, with the same to be done there.
+/// Runs a schedule with all services; if it is steady, also with the first alone, which must act the same.
 fn schedule(seed: u64) -> (usize, usize) {
     let mut random = StdRng::seed_from_u64(seed);
     let steady = seed.is_multiple_of(2);
-    let script = script(&mut random, steady);
-    let play = |mask: u32| {
-        let mut caller = Caller::new(mask);
-        for (number, step) in script.iter().enumerate() {
+    let steps = draw_steps(&mut random, steady);
+    let run = |mask: u32| {
+        let mut simulation = Simulation::new(mask);
+        for (number, step) in steps.iter().enumerate() {
             match step {
                 Step::Reload(..) if mask == 1 => {}
-                step => caller.play(number, step),
+                step => simulation.run_step(number, step),
             }
         }
-        caller.heal();
-        caller
+        simulation.settle();
+        simulation
     };
-    let all = play(if steady { 0b1111 } else { random.gen_range(1..16) });
+    let all = run(if steady { 0b1111 } else { random.gen_range(1..16) });
     if steady {
-        let alone = play(1);
+        let alone = run(1);
         let [alone, beside] = [alone.log, all.log].map(|mut log| {
-            // What is done at one instant is in the order of the handles.
+            // Actions at the same time come in the order of the handles, so sort them.
             log.sort();
             log
         });
         let differs = (0..alone.len().max(beside.len())).find(|i| alone.get(*i) != beside.get(*i));
-        let what = differs.map(|i| (alone.get(i), beside.get(i)));
-        assert!(what.is_none(), "beside others it does something else: {what:?}");
+        let difference = differs.map(|i| (alone.get(i), beside.get(i)));
+        assert!(
+            difference.is_none(),
+            "behaves differently with other services present: {difference:?}"
+        );
     }
-    (all.sends, all.held.len())
+    (all.attempts_sent, all.requests.len())
 }
 
-/// All schedules of a kind; a failure gives the seed.
+/// Runs all steady or all other schedules; a failure reports the seed.
 fn schedules(steady: bool) {
-    let (mut sends, mut requests) = (0, 0);
+    let (mut attempts_sent, mut requests) = (0, 0);
     for seed in (u64::from(!steady)..SCHEDULES).step_by(2) {
-        let played = std::panic::catch_unwind(|| schedule(seed));
-        let Ok((sent, held)) = played else { panic!("seed {seed}") };
-        sends += sent;
-        requests += held;
+        let result = std::panic::catch_unwind(|| schedule(seed));
+        let Ok((sent, opened)) = result else { panic!("seed {seed}") };
+        attempts_sent += sent;
+        requests += opened;
     }
-    println!("{} schedules: {requests} requests, {sends} attempts", SCHEDULES / 2);
-    assert!(sends > requests / 4 && requests > 2 * SCHEDULES as usize, "{sends} of {requests}");
+    println!("{} schedules: {requests} requests, {attempts_sent} attempts", SCHEDULES / 2);
+    assert!(
+        attempts_sent > requests / 4 && requests > 2 * SCHEDULES as usize,
+        "{attempts_sent} of {requests}"
+    );
 }
 
 #[test]
-fn a_service_does_the_same_beside_others_as_alone() {
+fn a_service_behaves_the_same_with_or_without_others() {
     schedules(true);
 }
 
 #[test]
-fn services_keep_to_themselves_while_any_come_and_go() {
+fn services_stay_isolated_across_reloads() {
     schedules(false);
 }
