--- a/tests/rehearsal/mod.rs
+++ b/tests/rehearsal/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of hollow balancers and upstreams before a cluster of list services, for `tests/scale.rs` and
+//! A fleet of simulated balancers and upstreams that use a cluster of list services, for `tests/scale.rs` and
 //! `benches/scale.rs`.
 
 pub mod relay;
@@ -12,7 +12,7 @@
 
 use crate::harness::{Cluster, Fleet, free, get, look, post, until};
 
-/// How many of what, in how many processes.
+/// The number of balancers, upstreams and services, and the processes that run them.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     pub balancers: usize,
@@ -21,35 +21,35 @@
     pub upstream_processes: usize,
     pub services: usize,
     pub ttl_ms: u64,
-    /// Upstreams start within this time.
+    /// The starts of upstreams are spread over this time.
     pub spread_ms: u64,
 }
 
-/// One balancer's counts.
+/// The counters of one balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Counts {
     pub id: String,
     pub revision: u64,
-    /// By how much the revision rose, of counts between two moments.
+    /// Increase of the revision since the earlier counts, set by [`Self::since`].
     pub revisions: u64,
     pub went_back: u64,
     pub messages: u64,
     pub whole_lists: u64,
     pub entries: u64,
     pub bytes: u64,
-    /// Services told of a list or a change, once for each.
+    /// Notifications of services about a list or a change, one per service.
     pub services_told: u64,
     pub module_us: u64,
-    /// Of one call since the start.
+    /// Longest policy call since the start.
     pub module_longest_us: u64,
     pub members: u64,
     pub digest: String,
 }
 
 impl Counts {
-    fn read(told: &Value) -> Self {
-        let count = |key: &str| told[key].as_u64().expect("a count");
-        let text = |key: &str| told[key].as_str().expect("a word").to_owned();
+    fn parse(response: &Value) -> Self {
+        let count = |key: &str| response[key].as_u64().expect("a count");
+        let text = |key: &str| response[key].as_str().expect("a word").to_owned();
         Self {
             id: text("id"),
             revision: count("revision"),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// What has been counted since `before`; what is held stays as it is now.
+    /// The counts since `before`; current state, such as the revision, stays as it is now.
     pub fn since(&self, before: &Self) -> Self {
         assert_eq!(self.id, before.id);
         Self {
@@ -91,57 +91,65 @@
     pub calls: Vec<SocketAddr>,
 }
 
-/// The processes, by their indices in the fleet, in the order of their start.
+/// A running fleet; processes are indices in `fleet`, in the order of their start.
 pub struct Rehearsal {
     pub fleet: Fleet,
     pub cluster: Cluster,
     pub size: Size,
-    /// One process after the other is of the next of these, counted round.
+    /// Processes are assigned to these regions round-robin.
     pub regions: Vec<Region>,
     pub balancers: Vec<usize>,
     pub upstreams: Vec<usize>,
-    started: usize,
+    upstreams_started: usize,
 }
 
 pub const ZONES: [&str; 5] = ["a", "b", "c", "d", "e"];
 
-fn quoted(of: impl Iterator<Item = String>) -> String {
+fn quoted_list(of: impl Iterator<Item = String>) -> String {
     of.map(|a| format!("\"{a}\"")).collect::<Vec<_>>().join(", ")
 }
 
 impl Rehearsal {
-    /// The list services and the balancers; upstreams are started by [`Self::more_upstreams`].
+    /// Starts the balancers; upstreams are started by [`Self::more_upstreams`].
     pub fn start(fleet: Fleet, cluster: Cluster, size: Size) -> Self {
         let (lists, calls) = (cluster.lists.clone(), cluster.calls.clone());
         let one = Region { zones: ZONES.to_vec(), lists, calls };
         Self::start_in(fleet, cluster, size, vec![one])
     }
 
-    /// The same in several regions.
+    /// Like [`Self::start`], in several regions.
     pub fn start_in(mut fleet: Fleet, cluster: Cluster, size: Size, regions: Vec<Region>) -> Self {
         let each = size.balancers / size.balancer_processes;
         let balancers = (0..size.balancer_processes)
             .map(|i| {
                 let counts = format!("balancers = {each}\nfirst = {}", i * each);
                 let region = &regions[i % regions.len()];
-                hollow(&mut fleet, region, &size, &format!("balancers-{i}"), &counts)
+                start_simulation(&mut fleet, region, &size, &format!("balancers-{i}"), &counts)
             })
             .collect();
-        Self { fleet, cluster, size, regions, balancers, upstreams: Vec::new(), started: 0 }
+        Self {
+            fleet,
+            cluster,
+            size,
+            regions,
+            balancers,
+            upstreams: Vec::new(),
+            upstreams_started: 0,
+        }
     }
 
-    /// One more process of this many upstreams.
+    /// Starts one more process with this many upstreams.
     pub fn more_upstreams(&mut self, upstreams: usize) {
-        let counts = format!("upstreams = {upstreams}\nfirst = {}", self.started);
+        let counts = format!("upstreams = {upstreams}\nfirst = {}", self.upstreams_started);
         let name = format!("upstreams-{}", self.upstreams.len());
         let region = &self.regions[self.upstreams.len() % self.regions.len()];
-        let i = hollow(&mut self.fleet, region, &self.size, &name, &counts);
+        let i = start_simulation(&mut self.fleet, region, &self.size, &name, &counts);
         self.upstreams.push(i);
-        self.started += upstreams;
+        self.upstreams_started += upstreams;
     }
 
-    /// Registers a member without a TTL, in the service that its id's number stands for, wherever that is decided, for
-    /// as long as it takes within this time.
+    /// Registers a member without a TTL in the service selected by the number in its id. Retries on all instances until
+    /// one accepts, for at most this time.
     pub fn register(&self, id: &str, within: Duration) {
         let number: usize = id.rsplit('-').next().and_then(|n| n.parse().ok()).expect("a number");
         let body = serde_json::json!({"member": {
@@ -149,15 +157,15 @@
             "service": format!("service-{}", number % self.size.services),
         }})
         .to_string();
-        until(&format!("{id} is acknowledged"), within, || {
-            let decides = |at: &SocketAddr| {
+        until(&format!("{id} is registered"), within, || {
+            let accepts = |at: &SocketAddr| {
                 post(*at, "/admin/members", &body).is_some_and(|(status, _)| status == 200)
             };
-            self.cluster.calls.iter().any(decides)
+            self.cluster.calls.iter().any(accepts)
         });
     }
 
-    /// Waits for an instance other than `not` that leads.
+    /// Waits until an instance other than `not` leads, and returns its index.
     pub fn leader(&self, not: Option<usize>, within: Duration) -> usize {
         let mut leader = None;
         until("a leader", within, || {
@@ -168,20 +176,20 @@
         leader.expect("found")
     }
 
-    /// An order to all processes of one kind; how many it meant.
+    /// Sends an order to all processes of one kind; returns how many balancers or upstreams it affected.
     pub fn order(&self, whom: &str, body: &str) -> u64 {
         let at = if whom == "balancers" { &self.balancers } else { &self.upstreams };
-        let tell = |i: &usize| {
+        let send = |i: &usize| {
             let path = format!("/admin/hollow/{whom}");
             let (status, answer) = post(self.fleet.address(*i), &path, body).expect("an answer");
             assert_eq!(status, 200, "{answer}");
             let answer: Value = serde_json::from_str(&answer).expect("JSON");
             answer["chosen"].as_u64().expect("a count")
         };
-        at.iter().map(tell).sum()
+        at.iter().map(send).sum()
     }
 
-    /// The list, as an instance that answers has it.
+    /// The list from the first instance that answers.
     pub fn list(&self) -> Message {
         let mut list = None;
         until("a list", Duration::from_secs(30), || {
@@ -194,54 +202,59 @@
         list.expect("found")
     }
 
-    /// How many of the list serve, whoever they are.
+    /// The number of members in the serving phase.
     pub fn serving(&self) -> usize {
         use hollowpaddle::discovery::member::Phase;
         self.list().members.iter().filter(|m| m.phase == Phase::Serving).count()
     }
 
-    /// The newest revision that any instance that answers has.
+    /// The newest revision reported by any instance that answers.
     pub fn newest(&self) -> u64 {
         let of = |at: &SocketAddr| look(*at, "/admin/stats")["revision"].as_u64().unwrap_or(0);
         self.cluster.calls.iter().map(of).max().unwrap_or(0)
     }
 
-    /// How many members the newest list has that any instance that answers tells; cheaper than the list.
+    /// The member count of the newest list reported by any instance that answers; cheaper than fetching the list.
     pub fn members(&self) -> usize {
         let of = |at: &SocketAddr| {
-            let told = look(*at, "/admin/stats");
-            (told["revision"].as_u64().unwrap_or(0), told["members"].as_u64().unwrap_or(0))
+            let response = look(*at, "/admin/stats");
+            (response["revision"].as_u64().unwrap_or(0), response["members"].as_u64().unwrap_or(0))
         };
         self.cluster.calls.iter().map(of).max().map_or(0, |(_, members)| members as usize)
     }
 
-    /// Each balancer of these processes.
+    /// The counts of each balancer of these processes.
     pub fn counts_of(&self, processes: &[usize]) -> Vec<Counts> {
         let of = |i: &usize| {
-            let told = look(self.fleet.address(*i), "/admin/hollow");
-            told["each"].as_array().expect("balancers").iter().map(Counts::read).collect::<Vec<_>>()
+            let response = look(self.fleet.address(*i), "/admin/hollow");
+            response["each"]
+                .as_array()
+                .expect("balancers")
+                .iter()
+                .map(Counts::parse)
+                .collect::<Vec<_>>()
         };
         processes.iter().flat_map(of).collect()
     }
 
-    /// Each balancer.
+    /// The counts of each balancer.
     pub fn counts(&self) -> Vec<Counts> {
         self.counts_of(&self.balancers)
     }
 
-    /// Lowest revision held by a balancer of these processes.
+    /// The lowest revision of any balancer of these processes.
     pub fn lowest(&self, processes: &[usize]) -> u64 {
         let of = |i: &usize| {
-            let told = look(self.fleet.address(*i), "/admin/stats");
-            told["balancers"]["lowest_revision"].as_u64().unwrap_or(0)
+            let response = look(self.fleet.address(*i), "/admin/stats");
+            response["balancers"]["lowest_revision"].as_u64().unwrap_or(0)
         };
         processes.iter().map(of).min().unwrap_or(0)
     }
 
-    /// Waits until the list stands still and every balancer holds just that list; the list and how long it took.
+    /// Waits until every balancer has the current list; returns the list and how long that took.
     pub fn level(&self, within: Duration) -> (Message, Duration) {
         let (from, mut list) = (Instant::now(), self.list());
-        until("every balancer holds the list", within, || {
+        until("every balancer has the current list", within, || {
             if self.lowest(&self.balancers) < list.revision {
                 return false;
             }
@@ -253,19 +266,25 @@
     }
 }
 
-fn hollow(fleet: &mut Fleet, region: &Region, size: &Size, name: &str, counts: &str) -> usize {
+fn start_simulation(
+    fleet: &mut Fleet,
+    region: &Region,
+    size: &Size,
+    name: &str,
+    counts: &str,
+) -> usize {
     let text = format!(
         "management = \"{}\"\nseed = 7\n{counts}\nbank = {}\nzones = [{}]\nservices = {}\nttl_ms = {}\n\
          spread_ms = {}\nproxy = \"{}\"\n[lists]\nlisten = [{}]\nmanagement = [{}]\n",
         free(),
         size.balancers,
-        quoted(region.zones.iter().map(|z| (*z).to_owned())),
+        quoted_list(region.zones.iter().map(|z| (*z).to_owned())),
         size.services,
         size.ttl_ms,
         size.spread_ms,
         concat!(env!("CARGO_MANIFEST_DIR"), "/examples/proxy.json"),
-        quoted(region.lists.iter().map(ToString::to_string)),
-        quoted(region.calls.iter().map(ToString::to_string)),
+        quoted_list(region.lists.iter().map(ToString::to_string)),
+        quoted_list(region.calls.iter().map(ToString::to_string)),
     );
     let file = fleet.file(&format!("{name}.toml"), &text);
     fleet.start(name, &["hollow", "--config", file.to_str().expect("UTF-8")], &[])
--- a/tests/rehearsal/relay.rs
+++ b/tests/rehearsal/relay.rs
@@ -1,4 +1,4 @@
-//! The link between two regions: relays that carry bytes, hold them while the regions are apart, and go on.
+//! The link between two regions: relays that forward bytes and hold them back during a partition.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -9,79 +9,80 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::{mpsc, watch};
 
-/// All relays of one link; one thread carries them.
+/// All relays of one link, run by one thread.
 pub struct Link {
-    apart: watch::Sender<bool>,
-    more: mpsc::UnboundedSender<(TcpListener, SocketAddr)>,
+    partitioned: watch::Sender<bool>,
+    new_relays: mpsc::UnboundedSender<(TcpListener, SocketAddr)>,
 }
 
 impl Link {
     pub fn new() -> Self {
-        let (apart, held) = watch::channel(false);
-        let (more, mut relays) = mpsc::unbounded_channel::<(TcpListener, SocketAddr)>();
+        let (partitioned, partition) = watch::channel(false);
+        let (new_relays, mut relays) = mpsc::unbounded_channel::<(TcpListener, SocketAddr)>();
         thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             runtime.expect("a runtime").block_on(async move {
-                // Ends with its link.
+                // Ends when the link is dropped.
                 while let Some((listener, to)) = relays.recv().await {
-                    tokio::spawn(accept(listener, to, held.clone()));
+                    tokio::spawn(accept(listener, to, partition.clone()));
                 }
             });
         });
-        Self { apart, more }
+        Self { partitioned, new_relays }
     }
 
-    /// An address of this side that stands for one of the other.
+    /// Returns a local address that forwards to `to` in the other region.
     pub fn relay(&self, to: SocketAddr) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        listener.set_nonblocking(true).expect("it can be");
+        listener.set_nonblocking(true).expect("non-blocking mode");
         let address = listener.local_addr().expect("an address");
-        self.more.send((listener, to)).expect("its thread lives");
+        self.new_relays.send((listener, to)).expect("the relay thread runs");
         address
     }
 
-    /// From now on nothing passes; what is sent is held.
+    /// Starts a partition: nothing is forwarded, and sent data is held back.
     pub fn part(&self) {
-        self.apart.send_replace(true);
+        self.partitioned.send_replace(true);
     }
 
-    /// What was held goes on, and all that comes.
+    /// Ends the partition: data held back and new data are forwarded.
     pub fn join(&self) {
-        self.apart.send_replace(false);
+        self.partitioned.send_replace(false);
     }
 }
 
-async fn accept(listener: TcpListener, to: SocketAddr, held: watch::Receiver<bool>) {
+async fn accept(listener: TcpListener, to: SocketAddr, partition: watch::Receiver<bool>) {
     let listener = tokio::net::TcpListener::from_std(listener).expect("non-blocking");
-    while let Ok((near, _)) = listener.accept().await {
-        let mut held = held.clone();
+    while let Ok((local, _)) = listener.accept().await {
+        let mut partition = partition.clone();
         tokio::spawn(async move {
-            if held.wait_for(|apart| !apart).await.is_err() {
+            if partition.wait_for(|partitioned| !partitioned).await.is_err() {
                 return;
             }
-            let Ok(far) = TcpStream::connect(to).await else { return };
-            let _ = (near.set_nodelay(true), far.set_nodelay(true));
-            let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-            // Either end closes both ways: nobody here half-closes.
+            let Ok(remote) = TcpStream::connect(to).await else { return };
+            let _ = (local.set_nodelay(true), remote.set_nodelay(true));
+            let ((local_in, local_out), (remote_in, remote_out)) =
+                (local.into_split(), remote.into_split());
+            // The end of either direction closes both, as no process here half-closes connections.
             tokio::select! {
-                _ = carry(near_in, far_out, held.clone()) => {}
-                _ = carry(far_in, near_out, held) => {}
+                _ = forward(local_in, remote_out, partition.clone()) => {}
+                _ = forward(remote_in, local_out, partition) => {}
             }
         });
     }
 }
 
-async fn carry(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut held: watch::Receiver<bool>,
+    mut partition: watch::Receiver<bool>,
 ) -> io::Result<()> {
-    let mut piece = vec![0; 16 << 10];
+    let mut buffer = vec![0; 16 << 10];
     loop {
-        let n = from.read(&mut piece).await?;
-        if held.wait_for(|apart| !apart).await.is_err() || n == 0 {
+        let n = from.read(&mut buffer).await?;
+        if partition.wait_for(|partitioned| !partitioned).await.is_err() || n == 0 {
             return Ok(());
         }
-        to.write_all(&piece[..n]).await?;
+        to.write_all(&buffer[..n]).await?;
     }
 }
