--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,4 +1,4 @@
-//! Soak test: random, overlapping faults in a few dozen processes, checked against invariants that hold under any fault.
+//! Soak test: random, overlapping faults in a few dozen processes, checked against invariants that must always hold.
 //!
 //! `SOAK_SEEDS=100-149 cargo test --test soak` runs these seeds instead of the default ones.
 
